--- a/relay/src/answer.rs
+++ b/relay/src/answer.rs
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 use tokio::sync::mpsc;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 
 /// A body that broke off; the connection is closed without the body's end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -197,11 +197,11 @@
     }
 
     /// Returns the answer to the caller.
-    pub fn response<D: Dialect>(&self, dialect: &D, request_id: Option<&str>) -> Response<Content> {
+    pub fn response<D: Codec>(&self, dialect: &D, request_id: Option<&str>) -> Response<Content> {
         let text = format!("{{\"error\":\"{}\"}}\n", self.reason.name());
         let mut response = Response::new(Content::Whole(Some(Bytes::from(text))));
         *response.status_mut() = self.reason.status();
-        *response.headers_mut() = dialect.own_headers(request_id, self.retry_after);
+        *response.headers_mut() = dialect.refusal_headers(request_id, self.retry_after);
         response
     }
 }
--- a/relay/src/attempt.rs
+++ b/relay/src/attempt.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use crate::dialect::{Dialect, Order, Reply, Report, Send};
+use crate::dialect::{Codec, Command, Dispatch, Reply, Report};
 use crate::state::{Backend, Relay};
 
 /// Longest time to connect. A connection within a region takes a few milliseconds; where the
@@ -141,15 +141,15 @@
 /// # Errors
 ///
 /// Returns whether the request may have run.
-pub async fn send<D: Dialect>(
+pub async fn send<D: Codec>(
     relay: &Relay<D>,
     backend: &Arc<Backend>,
     original: &Original,
-    send: &Send,
+    send: &Dispatch,
 ) -> Result<Answer, Failure> {
     let opened = open(backend.server.address).await;
     let (mut sender, connection) = opened.map_err(|reason| {
-        relay.unreachable(backend);
+        relay.record_unreachable(backend);
         Failure::NotSent { reason }
     })?;
     backend.load(medlarfall_coordination::balance::Load::started);
@@ -168,7 +168,7 @@
         Failure::Lost { reason }
     })?;
     let (parts, body) = response.into_parts();
-    let reply = relay.dialect.reply(&original.request_id, &parts);
+    let reply = relay.dialect.decode_reply(&original.request_id, &parts);
     let now = relay.clock.now();
     if let Some(requests) = reply.requests {
         backend.load(|load| load.reported(requests, now));
@@ -177,7 +177,7 @@
         let status = parts.status.as_u16();
         match status {
             // Another server has the address now.
-            421 => relay.unreachable(backend),
+            421 => relay.record_unreachable(backend),
             _ => backend.load(|load| load.outcome(true, now)),
         }
         return Err(Failure::NotRun {
@@ -205,7 +205,7 @@
 /// # Errors
 ///
 /// Returns why there is none.
-pub async fn exchange(address: SocketAddr, order: Order) -> Result<(Parts, Bytes), String> {
+pub async fn exchange(address: SocketAddr, order: Command) -> Result<(Parts, Bytes), String> {
     let (mut sender, connection) = open(address).await?;
     let request = Request::builder()
         .method(order.method)
@@ -221,8 +221,8 @@
     Ok((parts, body))
 }
 
-fn get(path: &str) -> Order {
-    Order {
+fn get(path: &str) -> Command {
+    Command {
         method: Method::GET,
         path: path.to_owned(),
         body: Bytes::new(),
@@ -234,7 +234,7 @@
 /// # Errors
 ///
 /// Returns why there is none.
-pub async fn report<D: Dialect>(relay: &Relay<D>, address: SocketAddr) -> Result<Report, String> {
+pub async fn report<D: Codec>(relay: &Relay<D>, address: SocketAddr) -> Result<Report, String> {
     relay.metrics.questions.inc();
     let (parts, body) = exchange(address, get(relay.dialect.report_path())).await?;
     let report = relay.dialect.report(parts.status, &body);
@@ -246,9 +246,9 @@
 /// # Errors
 ///
 /// Returns why there is none.
-pub async fn name<D: Dialect>(relay: &Relay<D>, address: SocketAddr) -> Result<Arc<str>, String> {
+pub async fn name<D: Codec>(relay: &Relay<D>, address: SocketAddr) -> Result<Arc<str>, String> {
     relay.metrics.questions.inc();
     let (parts, _) = exchange(address, get(relay.dialect.health_path())).await?;
-    let name = relay.dialect.healthy(&parts);
+    let name = relay.dialect.decode_health(&parts);
     name.ok_or_else(|| format!("status {}", parts.status))
 }
--- a/relay/src/call.rs
+++ b/relay/src/call.rs
@@ -13,7 +13,7 @@
 
 use crate::answer::{Content, Part, Reason, Refusal};
 use crate::attempt::{self, Answer, Failure};
-use crate::dialect::{Dialect, Send};
+use crate::dialect::{Codec, Dispatch};
 use crate::intake::{Job, SHORT_WAIT};
 use crate::state::{Backend, Measure, Relay, Sight, Wanted};
 
@@ -60,7 +60,7 @@
 }
 
 /// Answers a call.
-pub async fn answer<D: Dialect>(relay: &Arc<Relay<D>>, job: Job) -> Response<Content> {
+pub async fn answer<D: Codec>(relay: &Arc<Relay<D>>, job: Job) -> Response<Content> {
     let _open = relay.metrics.open("call");
     let mut course = Course::default();
     let deadline = relay.clock.instant(job.deadline);
@@ -105,7 +105,7 @@
 }
 
 /// Sends a call to one server after another, as far as its kind and the budgets allow.
-async fn run<D: Dialect>(
+async fn run<D: Codec>(
     relay: &Arc<Relay<D>>,
     job: &Job,
     course: &mut Course,
@@ -129,7 +129,7 @@
         let send = send(relay, job, &backend);
         let sent_at = relay.clock.now();
         let taken = match attempt::send(relay, &backend, &job.original, &send).await {
-            Ok(answer) => take(relay, &backend, answer).await,
+            Ok(answer) => read_response(relay, &backend, answer).await,
             Err(failure) => Err(failure),
         };
         saw(relay, job, &backend, &taken, sent_at);
@@ -166,7 +166,7 @@
 }
 
 /// Tells what a send showed of the server's version.
-fn saw<D: Dialect>(
+fn saw<D: Codec>(
     relay: &Relay<D>,
     job: &Job,
     backend: &Backend,
@@ -216,7 +216,7 @@
 }
 
 /// Chooses the next server; waits a little for one where none is known.
-async fn next<D: Dialect>(relay: &Relay<D>, job: &Job, course: &Course) -> Option<Arc<Backend>> {
+async fn next<D: Codec>(relay: &Relay<D>, job: &Job, course: &Course) -> Option<Arc<Backend>> {
     let wanted = Wanted {
         service: &job.service,
         not: &course.tried,
@@ -243,20 +243,20 @@
     relay.choose(wanted)
 }
 
-fn send<D: Dialect>(relay: &Relay<D>, job: &Job, backend: &Backend) -> Send {
-    Send {
+fn send<D: Codec>(relay: &Relay<D>, job: &Job, backend: &Backend) -> Dispatch {
+    Dispatch {
         server: Arc::clone(&backend.server),
         account: job.account.as_ref().map(|a| Arc::clone(&a.name)),
         priority: job.priority(),
-        remains: job.deadline.saturating_sub(relay.clock.now()),
-        backup: None,
-        copy: None,
+        remaining: job.deadline.saturating_sub(relay.clock.now()),
+        backup_target: None,
+        resume_from: None,
         last_event: None,
     }
 }
 
 /// Reads a server's answer, whole if it is not too large.
-async fn take<D: Dialect>(
+async fn read_response<D: Codec>(
     relay: &Relay<D>,
     backend: &Backend,
     answer: Answer,
@@ -265,7 +265,7 @@
         response, guard, ..
     } = answer;
     let (parts, mut body) = response.into_parts();
-    let mut headers = relay.dialect.answer_headers(&parts.headers);
+    let mut headers = relay.dialect.response_headers(&parts.headers);
     let length = body.size_hint().exact();
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/relay/src/copy.rs
+++ b/relay/src/copy.rs
@@ -8,7 +8,7 @@
 use tokio::task::AbortHandle;
 
 use crate::attempt;
-use crate::dialect::{Copy, Dialect};
+use crate::dialect::{Backup, Codec};
 use crate::state::{Backend, Relay};
 
 /// Time between orders to bring a copy up to date. A server frees a copy that is 4 s old.
@@ -36,20 +36,20 @@
 impl Keeper {
     /// Returns the copy, once it is made.
     #[must_use]
-    pub fn copy(&self) -> Option<Copy> {
+    pub fn copy(&self) -> Option<Backup> {
         let handle = self.handle.borrow().clone()?;
-        Some(Copy {
+        Some(Backup {
             holder: self.source,
             handle,
         })
     }
 
     /// Frees the copy at both servers.
-    pub fn free<D: Dialect>(self, relay: &Arc<Relay<D>>) {
+    pub fn free<D: Codec>(self, relay: &Arc<Relay<D>>) {
         let Some(handle) = self.handle.borrow().clone() else {
             return;
         };
-        let order = relay.dialect.copy_drop(&handle);
+        let order = relay.dialect.free_command(&handle);
         let source = self.source;
         tokio::spawn(async move {
             let freed = tokio::time::timeout(COPY_TIME, attempt::exchange(source, order)).await;
@@ -61,7 +61,7 @@
 }
 
 /// Copies the memory of the run `request_id` at `source` to `holder`, again and again.
-pub fn keep<D: Dialect>(
+pub fn keep<D: Codec>(
     relay: &Arc<Relay<D>>,
     request_id: &Arc<str>,
     source: &Arc<Backend>,
@@ -74,10 +74,10 @@
     let request_id = Arc::clone(request_id);
     let task = tokio::spawn(async move {
         loop {
-            let order = relay.dialect.copy_order(&request_id, target);
+            let order = relay.dialect.copy_command(&request_id, target);
             let made = tokio::time::timeout(COPY_TIME, attempt::exchange(source, order)).await;
             let made = match made {
-                Ok(Ok((parts, body))) => relay.dialect.copy_made(parts.status, &body),
+                Ok(Ok((parts, body))) => relay.dialect.decode_copy(parts.status, &body),
                 _ => None,
             };
             log::info!(
--- a/relay/src/daemon.rs
+++ b/relay/src/daemon.rs
@@ -14,7 +14,7 @@
 
 use medlarfall_runtime::store::Store;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::state::Relay;
 use crate::{exchange, follow, inner, listener, mirror, moves, rediscover};
 
@@ -29,7 +29,7 @@
 const METRICS_PATH: &str = "/metrics";
 
 /// Serves until `stop` resolves, then stops in order.
-pub async fn run<D: Dialect, S: Store>(
+pub async fn run<D: Codec, S: Store>(
     relay: Arc<Relay<D>>,
     store: S,
     callers: TcpListener,
@@ -41,8 +41,8 @@
     tokio::spawn(moves::run(Arc::clone(&relay), store.clone()));
     tokio::spawn(rediscover::run(Arc::clone(&relay)));
     let readiness_address = bound(&readiness);
-    tokio::spawn(watch(Arc::clone(&relay), readiness));
-    if let Some(address) = relay.settings.exchange {
+    tokio::spawn(serve_status(Arc::clone(&relay), readiness));
+    if let Some(address) = relay.settings.peer_address {
         match messages(address).await {
             Ok((socket, listener)) => {
                 tokio::spawn(mirror::serve(Arc::clone(&relay), listener));
@@ -96,11 +96,11 @@
 }
 
 /// Answers whether the entry is ready, and serves its metrics.
-pub async fn watch<D: Dialect>(relay: Arc<Relay<D>>, listener: TcpListener) {
+pub async fn serve_status<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener) {
     inner::serve(listener, move |request| reply(&relay, request)).await;
 }
 
-fn reply<D: Dialect>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn reply<D: Codec>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     if request.uri().path() == METRICS_PATH {
         *response.body_mut() = Full::from(relay.metrics_text());
--- a/relay/src/dialect.rs
+++ b/relay/src/dialect.rs
@@ -15,11 +15,11 @@
 
 /// What the head of a caller's request says.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Caller {
+pub struct Head {
     /// Identifier of the request.
     pub request_id: Arc<str>,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The key it presents.
     pub key: Option<Arc<str>>,
     /// Last event that it has of a stream that broke off.
@@ -34,7 +34,7 @@
 
 /// A copy of a run's memory on a server.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Copy {
+pub struct Backup {
     /// The server that holds it.
     pub holder: SocketAddr,
     /// Identifier of the run, or handle of the copy.
@@ -43,7 +43,7 @@
 
 /// What one send to a server adds to the caller's request.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct Dispatch {
     /// The server that is meant.
     pub server: Arc<Server>,
     /// Client account of the request.
@@ -51,11 +51,11 @@
     /// Urgency; 0 is the most urgent.
     pub priority: u8,
     /// Time that is left.
-    pub remains: Duration,
+    pub remaining: Duration,
     /// Server that is to keep a backup copy of the run's memory.
-    pub backup: Option<SocketAddr>,
+    pub backup_target: Option<SocketAddr>,
     /// Copy that the run goes on from.
-    pub copy: Option<Copy>,
+    pub resume_from: Option<Backup>,
     /// Last event that was handed on.
     pub last_event: Option<u64>,
 }
@@ -81,14 +81,14 @@
     /// Requests at the server, running and waiting.
     pub requests: u32,
     /// When it started, in Unix milliseconds.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
     /// Models that it holds.
     pub models: Vec<Arc<str>>,
 }
 
 /// A call to a server about a copy of a run's memory.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Order {
+pub struct Command {
     /// Method.
     pub method: Method,
     /// Path.
@@ -99,7 +99,7 @@
 
 /// What a change in the store means.
 #[derive(Debug)]
-pub enum Entry {
+pub enum Record {
     /// A configuration.
     Configuration(Table),
     /// What a server announces.
@@ -107,10 +107,10 @@
         /// The server.
         server: Server,
         /// How much longer it is slow after its start.
-        cold: Duration,
+        warmup: Duration,
     },
     /// A server's entry was removed, or names no server.
-    NoServer {
+    ServerRemoved {
         /// Name of the server.
         id: Arc<str>,
         /// What is wrong with the entry; nothing if it was removed.
@@ -152,26 +152,27 @@
 }
 
 /// A protocol of callers, servers and the store.
-pub trait Dialect: std::marker::Send + Sync + 'static {
+pub trait Codec: std::marker::Send + Sync + 'static {
     /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with it.
-    fn caller(&self, headers: &HeaderMap) -> Result<Caller, Invalid>;
+    fn decode_request(&self, headers: &HeaderMap) -> Result<Head, Invalid>;
 
     /// Returns the headers of a send: the caller's, but for those that concern one connection or
     /// that only this system may set, and what the send adds.
-    fn headers(&self, caller: &HeaderMap, send: &Send) -> HeaderMap;
+    fn headers(&self, caller: &HeaderMap, send: &Dispatch) -> HeaderMap;
 
     /// Decodes the head of a server's answer to the request `request_id`.
-    fn reply(&self, request_id: &str, parts: &Parts) -> Reply;
+    fn decode_reply(&self, request_id: &str, parts: &Parts) -> Reply;
 
     /// Returns the headers of a server's answer that the caller gets.
-    fn answer_headers(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Returns the headers of an answer of this system's own.
-    fn own_headers(&self, request_id: Option<&str>, retry_after: Option<Duration>) -> HeaderMap;
+    fn refusal_headers(&self, request_id: Option<&str>, retry_after: Option<Duration>)
+    -> HeaderMap;
 
     /// Returns the path at which a server reports on itself.
     fn report_path(&self) -> &'static str;
@@ -183,29 +184,29 @@
     fn health_path(&self) -> &'static str;
 
     /// Decodes the name of a server that says that it is well.
-    fn healthy(&self, parts: &Parts) -> Option<Arc<str>>;
+    fn decode_health(&self, parts: &Parts) -> Option<Arc<str>>;
 
     /// Returns the order to copy the memory of the run `request_id` to the server at `target`.
-    fn copy_order(&self, request_id: &str, target: SocketAddr) -> Order;
+    fn copy_command(&self, request_id: &str, target: SocketAddr) -> Command;
 
     /// Decodes the handle of a copy that was made.
-    fn copy_made(&self, status: StatusCode, body: &[u8]) -> Option<Arc<str>>;
+    fn decode_copy(&self, status: StatusCode, body: &[u8]) -> Option<Arc<str>>;
 
     /// Returns the order to free a copy.
-    fn copy_drop(&self, handle: &str) -> Order;
+    fn free_command(&self, handle: &str) -> Command;
 
     /// Returns the question for the parts of prompts that a server keeps.
-    fn cache_order(&self) -> Order;
+    fn cache_command(&self) -> Command;
 
     /// Decodes how many tokens of `part` a server keeps.
-    fn cached(&self, status: StatusCode, body: &[u8], part: &str) -> u64;
+    fn decode_cached_tokens(&self, status: StatusCode, body: &[u8], part: &str) -> u64;
 
     /// Decodes a change in the store.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with a configuration.
-    fn entry(&self, change: &Change) -> Result<Entry, Invalid>;
+    fn entry(&self, change: &Change) -> Result<Record, Invalid>;
 
     /// Returns the key and value that tell the operators how a move to `version` has ended.
     fn move_status(&self, service: &str, version: &str, good: bool) -> (String, String);
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -20,7 +20,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::follow;
 use crate::mirror;
 use crate::packing;
@@ -102,7 +102,7 @@
 }
 
 /// Sends and receives messages for ever.
-pub async fn run<D: Dialect>(relay: Arc<Relay<D>>, socket: UdpSocket) {
+pub async fn run<D: Codec>(relay: Arc<Relay<D>>, socket: UdpSocket) {
     let socket = Arc::new(socket);
     tokio::spawn(tell(Arc::clone(&relay), Arc::clone(&socket)));
     let mut buffer = vec![0; MESSAGE_LIMIT];
@@ -118,7 +118,7 @@
 }
 
 /// Takes in a message.
-fn hear<D: Dialect>(relay: &Arc<Relay<D>>, bytes: &[u8], from: SocketAddr) {
+fn hear<D: Codec>(relay: &Arc<Relay<D>>, bytes: &[u8], from: SocketAddr) {
     let message: Message = match packing::unpack(bytes) {
         Ok(message) => message,
         Err(error) => {
@@ -165,7 +165,7 @@
 }
 
 /// Returns what was read since `told`, if this entry reads and it is not too much for a message.
-fn news<D: Dialect>(relay: &Relay<D>, told: u64) -> Option<News> {
+fn news<D: Codec>(relay: &Relay<D>, told: u64) -> Option<News> {
     if told == 0 || !relay.reads.load(Ordering::Relaxed) {
         return None;
     }
@@ -181,7 +181,7 @@
 
 /// Sends what this entry has: to those of its own failure domain at each change, to all now and
 /// then, and at once when it read something new in the store.
-async fn tell<D: Dialect>(relay: Arc<Relay<D>>, socket: Arc<UdpSocket>) {
+async fn tell<D: Codec>(relay: Arc<Relay<D>>, socket: Arc<UdpSocket>) {
     let mut told_all = Instant::now();
     let mut told = 0;
     loop {
@@ -247,7 +247,7 @@
 }
 
 /// Keeps this entry's address in the store.
-pub async fn register<D: Dialect, S: Store>(relay: Arc<Relay<D>>, store: S, address: SocketAddr) {
+pub async fn register<D: Codec, S: Store>(relay: Arc<Relay<D>>, store: S, address: SocketAddr) {
     let mut lease = None;
     loop {
         relay.metrics.store_calls.inc();
@@ -272,7 +272,7 @@
 }
 
 /// Renews the lease, or writes the address under a new one.
-async fn renew<D: Dialect, S: Store>(
+async fn renew<D: Codec, S: Store>(
     relay: &Relay<D>,
     store: &S,
     address: SocketAddr,
--- a/relay/src/follow.rs
+++ b/relay/src/follow.rs
@@ -16,7 +16,7 @@
 use medlarfall_coordination::readers::retry_pause;
 use medlarfall_runtime::store::{Change, Changes, Error, Store};
 
-use crate::dialect::{Dialect, Entry};
+use crate::dialect::{Codec, Record};
 use crate::state::Relay;
 
 /// Longest time that a watch waits for changes. A configuration has to be in force within 2 s of
@@ -57,7 +57,7 @@
 }
 
 /// Follows the store for ever.
-pub async fn run<D: Dialect, S: Store>(relay: Arc<Relay<D>>, store: S) {
+pub async fn run<D: Codec, S: Store>(relay: Arc<Relay<D>>, store: S) {
     let mut place = Place::Unknown;
     let mut up = None;
     let mut failures = 0_u32;
@@ -65,7 +65,7 @@
         if !relay.must_read() {
             relay.reads.store(false, Ordering::Relaxed);
             // Readers answer for the store.
-            relay.store_answers(true);
+            relay.set_store_available(true);
             tokio::time::sleep(READER_CHECK).await;
             continue;
         }
@@ -81,7 +81,7 @@
         let answers = reason.is_none();
         // Where the store turns only this entry away, others answer for it.
         let others_read = relay.others_read();
-        relay.store_answers(answers || others_read);
+        relay.set_store_available(answers || others_read);
         relay.reads.store(answers, Ordering::Relaxed);
         if up != Some(answers) {
             tell(&relay, answers, reason.as_deref().unwrap_or(""));
@@ -101,7 +101,7 @@
     }
 }
 
-fn tell<D: Dialect>(relay: &Relay<D>, answers: bool, reason: &str) {
+fn tell<D: Codec>(relay: &Relay<D>, answers: bool, reason: &str) {
     relay.metrics.store_up.set(i64::from(answers));
     if answers {
         log::info!(dependency = "store"; "the store answers");
@@ -111,7 +111,7 @@
 }
 
 /// Makes one call and takes in what it returns.
-async fn step<D: Dialect, S: Store>(
+async fn step<D: Codec, S: Store>(
     relay: &Relay<D>,
     store: &S,
     place: Place,
@@ -129,21 +129,21 @@
                     value: Some(item.value),
                     revision: item.revision,
                 };
-                take(relay, &change);
+                apply(relay, &change);
             }
             relay.retain(&listed, listing.revision);
-            relay.mirror(|mirror| mirror.complete(listing.revision));
+            relay.mirror(|mirror| mirror.mark_complete(listing.revision));
             Ok(Place::At(listing.revision))
         }
         Place::At(revision) => {
             let watching = store.watch("", revision, WATCH_TIME);
             let Changes { changes, revision } = within(WATCH_TIME, watching).await?;
             // Changes of an outage come with the first answer after it.
-            relay.store_answers(true);
+            relay.set_store_available(true);
             for change in &changes {
-                take(relay, change);
+                apply(relay, change);
             }
-            relay.mirror(|mirror| mirror.complete(revision));
+            relay.mirror(|mirror| mirror.mark_complete(revision));
             Ok(Place::At(revision))
         }
     }
@@ -163,32 +163,35 @@
 }
 
 /// Takes in the changes after a revision that another entry read.
-pub fn take_news<D: Dialect>(relay: &Relay<D>, after: u64, news: &Changes) {
+pub fn take_news<D: Codec>(relay: &Relay<D>, after: u64, news: &Changes) {
     let own = relay.mirror(|mirror| mirror.revision());
     if own == 0 || news.revision <= own {
         return;
     }
     for change in &news.changes {
-        take(relay, change);
+        apply(relay, change);
     }
     if after <= own {
-        relay.mirror(|mirror| mirror.complete(news.revision));
+        relay.mirror(|mirror| mirror.mark_complete(news.revision));
     }
 }
 
 /// Takes in one change.
-pub fn take<D: Dialect>(relay: &Relay<D>, change: &Change) {
+pub fn apply<D: Codec>(relay: &Relay<D>, change: &Change) {
     relay.mirror(|mirror| mirror.insert(change));
     match relay.dialect.entry(change) {
-        Ok(Entry::Configuration(table)) => relay.configure(table),
-        Ok(Entry::Server { server, cold }) => relay.announce(server, cold, change.revision),
-        Ok(Entry::NoServer { id, problem }) => {
+        Ok(Record::Configuration(table)) => relay.configure(table),
+        Ok(Record::Server {
+            server,
+            warmup: cold,
+        }) => relay.announce(server, cold, change.revision),
+        Ok(Record::ServerRemoved { id, problem }) => {
             if let Some(problem) = problem {
                 log::warn!(server = &*id, problem = problem.as_str(); "entry names no server");
             }
             relay.remove(&id, change.revision);
         }
-        Ok(Entry::Move { service, order }) => {
+        Ok(Record::Move { service, order }) => {
             let revision = change.revision;
             let order = order.map(|(version, lasts)| Order {
                 version,
@@ -197,13 +200,13 @@
             });
             relay.order_move(&service, order);
         }
-        Ok(Entry::MoveEnd {
+        Ok(Record::MoveEnd {
             service,
             version,
             good,
         }) => relay.move_recorded(&service, &version, good, change.revision),
-        Ok(Entry::Peer { name, address }) => relay.peer(&name, address),
-        Ok(Entry::Other) => {}
+        Ok(Record::Peer { name, address }) => relay.peer(&name, address),
+        Ok(Record::Other) => {}
         Err(invalid) => {
             log::error!(
                 key = change.key.as_str(), revision = change.revision,
--- a/relay/src/intake.rs
+++ b/relay/src/intake.rs
@@ -16,7 +16,7 @@
 
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::Original;
-use crate::dialect::{Caller, Dialect};
+use crate::dialect::{Codec, Head};
 use crate::state::Relay;
 use crate::{call, stream};
 
@@ -39,7 +39,7 @@
     /// The request as it is sent on.
     pub original: Original,
     /// What its head says.
-    pub caller: Caller,
+    pub caller: Head,
     /// Its route.
     pub route: Arc<Route>,
     /// Configuration that it came under.
@@ -79,16 +79,16 @@
 /// # Errors
 ///
 /// Never.
-pub async fn handle<D: Dialect>(
+pub async fn handle<D: Codec>(
     relay: Arc<Relay<D>>,
     request: Request<Incoming>,
 ) -> Result<Response<Content>, Infallible> {
     let began = relay.clock.now();
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let caller = relay.dialect.caller(request.headers());
+    let caller = relay.dialect.decode_request(request.headers());
     let id = caller.as_ref().ok();
     let id = id.map(|caller| Arc::clone(&caller.request_id));
-    let mut response = match take(&relay, request, caller, began).await {
+    let mut response = match receive(&relay, request, caller, began).await {
         Ok(job) if job.route.kind.streams() => stream::answer(&relay, job).await,
         Ok(job) => call::answer(&relay, job).await,
         Err(refusal) => {
@@ -104,7 +104,7 @@
     Ok(response)
 }
 
-fn refused<D: Dialect>(relay: &Relay<D>, refusal: &Refusal, request_id: &str) {
+fn refused<D: Codec>(relay: &Relay<D>, refusal: &Refusal, request_id: &str) {
     let status = refusal.reason.status().as_u16();
     relay.metrics.end("none", status, refusal.reason.name());
     log::info!(
@@ -114,10 +114,10 @@
 }
 
 /// Checks a request and reads its body.
-async fn take<D: Dialect>(
+async fn receive<D: Codec>(
     relay: &Arc<Relay<D>>,
     request: Request<Incoming>,
-    caller: Result<Caller, crate::dialect::Invalid>,
+    caller: Result<Head, crate::dialect::Invalid>,
     began: Duration,
 ) -> Result<Job, Refusal> {
     let caller = caller.map_err(|_| Refusal::new(Reason::Malformed))?;
@@ -139,7 +139,7 @@
     if relay.ends_before(usual_time(&route)) {
         return Err(Refusal::come_back(Reason::Stopping, ELSEWHERE_PAUSE));
     }
-    let patience = caller.patience.unwrap_or(route.timeout);
+    let timeout = caller.timeout.unwrap_or(route.timeout);
     let body = read_within(body, table.limits.body_bytes, &relay.memory).await;
     let (body, hold) = match body {
         Ok(Some(body)) => body,
@@ -168,7 +168,7 @@
             headers: parts.headers,
             body,
         },
-        deadline: began + patience.min(route.timeout),
+        deadline: began + timeout.min(route.timeout),
         caller,
         route,
         table,
@@ -190,7 +190,7 @@
 }
 
 /// Returns the configuration, for which a request may wait a little.
-async fn table<D: Dialect>(relay: &Arc<Relay<D>>) -> Result<Arc<Table>, Refusal> {
+async fn table<D: Codec>(relay: &Arc<Relay<D>>) -> Result<Arc<Table>, Refusal> {
     if let Some(table) = relay.table() {
         return Ok(table);
     }
--- a/relay/src/listener.rs
+++ b/relay/src/listener.rs
@@ -10,7 +10,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::task::TaskTracker;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::intake;
 use crate::state::Relay;
 
@@ -22,7 +22,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Accepts connections until `tracker` is closed and the task is ended.
-pub async fn serve<D: Dialect>(relay: Arc<Relay<D>>, listener: TcpListener, tracker: TaskTracker) {
+pub async fn serve<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener, tracker: TaskTracker) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -37,7 +37,7 @@
 }
 
 /// Serves one connection.
-async fn connection<D: Dialect>(relay: Arc<Relay<D>>, stream: TcpStream) {
+async fn connection<D: Codec>(relay: Arc<Relay<D>>, stream: TcpStream) {
     if let Err(error) = prepare(&stream) {
         log::debug!(reason = error.to_string().as_str(); "connection without options");
     }
--- a/relay/src/mirror.rs
+++ b/relay/src/mirror.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::attempt;
-use crate::dialect::{Dialect, Order};
+use crate::dialect::{Codec, Command};
 use crate::follow;
 use crate::inner;
 use crate::packing;
@@ -40,12 +40,12 @@
 
 /// The newest known change of each key.
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct Changelog {
     changes: HashMap<Arc<str>, Change>,
     revision: u64,
 }
 
-impl Mirror {
+impl Changelog {
     /// Takes in a change, unless a newer one of its key is known.
     pub fn insert(&mut self, change: &Change) {
         let known = self.changes.get(change.key.as_str());
@@ -57,7 +57,7 @@
     }
 
     /// Notes that all changes up to `revision` have been taken in.
-    pub fn complete(&mut self, revision: u64) {
+    pub fn mark_complete(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         let removed = |change: &Change| change.value.is_none();
         let mut revisions: Vec<u64> = self
@@ -98,11 +98,11 @@
 }
 
 /// Serves the changes to the other entries.
-pub async fn serve<D: Dialect>(relay: Arc<Relay<D>>, listener: TcpListener) {
+pub async fn serve<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener) {
     inner::serve(listener, move |request| reply(&relay, request)).await;
 }
 
-fn reply<D: Dialect>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn reply<D: Codec>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let after = request.uri().path().strip_prefix(PATH);
     let after = after.and_then(|after| after.parse().ok());
     let changes = after.map(|after| relay.mirror(|mirror| mirror.after(after)));
@@ -121,7 +121,7 @@
 
 /// Catches up from a peer that has read up to `revision`, if this entry is still behind after a
 /// short while.
-pub async fn catch_up<D: Dialect>(relay: Arc<Relay<D>>, peer: SocketAddr, revision: u64) {
+pub async fn catch_up<D: Codec>(relay: Arc<Relay<D>>, peer: SocketAddr, revision: u64) {
     let own = || relay.mirror(|mirror| mirror.revision());
     if own() > 0 {
         sleep(PATIENCE).await;
@@ -130,7 +130,7 @@
     if after >= revision {
         return;
     }
-    let order = Order {
+    let order = Command {
         method: Method::GET,
         path: format!("{PATH}{after}"),
         body: Bytes::new(),
@@ -150,9 +150,9 @@
                 "caught up from a peer"
             );
             for change in &changes.changes {
-                follow::take(&relay, change);
+                follow::apply(&relay, change);
             }
-            relay.mirror(|mirror| mirror.complete(changes.revision));
+            relay.mirror(|mirror| mirror.mark_complete(changes.revision));
         }
         Err(reason) => log::info!(peer = peer.as_str(), reason = reason.as_str(); "not caught up"),
     }
--- a/relay/src/monitor.rs
+++ b/relay/src/monitor.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::attempt;
-use crate::dialect::{Dialect, Report};
+use crate::dialect::{Codec, Report};
 use crate::state::{Backend, Relay};
 
 /// What is known of a server with streams.
@@ -95,7 +95,7 @@
 }
 
 /// Watches `backend` for a stream.
-pub fn subscribe<D: Dialect>(relay: &Arc<Relay<D>>, backend: &Arc<Backend>) -> Subscription {
+pub fn subscribe<D: Codec>(relay: &Arc<Relay<D>>, backend: &Arc<Backend>) -> Subscription {
     let now = relay.clock.now();
     let (lost, first) = backend.monitor.with(|slot| {
         let first = slot.is_none();
@@ -117,7 +117,7 @@
 }
 
 /// Drives the detector of one server until its last stream has left or it is lost.
-async fn run<D: Dialect>(relay: Arc<Relay<D>>, backend: Arc<Backend>) {
+async fn run<D: Codec>(relay: Arc<Relay<D>>, backend: Arc<Backend>) {
     let step = || {
         let reading = backend.load(|load| load.only_reads());
         backend.monitor.step(relay.clock.now(), reading)
@@ -127,7 +127,7 @@
             Step::Wait(until) => tokio::time::sleep_until(relay.clock.instant(until)).await,
             Step::Ask => ask(&relay, &backend).await,
             Step::Lost => {
-                relay.unreachable(&backend);
+                relay.record_unreachable(&backend);
                 relay.metrics.servers_lost.inc();
                 log::warn!(
                     server = &*backend.server.id, failure_domain = &*backend.server.failure_domain;
@@ -140,7 +140,7 @@
 }
 
 /// Asks a server for its report.
-async fn ask<D: Dialect>(relay: &Relay<D>, backend: &Arc<Backend>) {
+async fn ask<D: Codec>(relay: &Relay<D>, backend: &Arc<Backend>) {
     let asked_at = relay.clock.now();
     let wait = relay.settings.liveness.answer;
     let answer = attempt::report(relay, backend.server.address);
@@ -162,7 +162,7 @@
 
 /// Returns whether a report is by the start of the server that the streams run at.
 fn same_start(backend: &Backend, report: &Report) -> bool {
-    match (backend.server.born_ms, report.born_ms) {
+    match (backend.server.born_ms, report.started_ms) {
         (Some(known), Some(told)) => known == told,
         _ => true,
     }
--- a/relay/src/moves.rs
+++ b/relay/src/moves.rs
@@ -8,7 +8,7 @@
 
 use medlarfall_runtime::store::{Change, Error, Store};
 
-use crate::dialect::{Dialect, Entry};
+use crate::dialect::{Codec, Record};
 use crate::follow::within;
 use crate::state::{Ended, Relay};
 
@@ -20,9 +20,9 @@
 
 /// Drives the moves for ever. Only entries that read the store record ends: the others' would say
 /// the same, and each call is paid for.
-pub async fn run<D: Dialect, S: Store>(relay: Arc<Relay<D>>, store: S) {
+pub async fn run<D: Codec, S: Store>(relay: Arc<Relay<D>>, store: S) {
     loop {
-        if !relay.judge_moves() {
+        if !relay.conclude_moves() {
             relay.moves_changed.notified().await;
             continue;
         }
@@ -38,7 +38,7 @@
 }
 
 /// Records the end of a move, unless another end of it is recorded: that one holds.
-async fn record<D: Dialect, S: Store>(relay: &Relay<D>, store: &S, ended: &Ended) {
+async fn record<D: Codec, S: Store>(relay: &Relay<D>, store: &S, ended: &Ended) {
     let Ended {
         service,
         order,
@@ -57,7 +57,7 @@
             revision: current.revision,
         };
         match relay.dialect.entry(&change) {
-            Ok(Entry::MoveEnd { version, good, .. })
+            Ok(Record::MoveEnd { version, good, .. })
                 if version == order.version && current.revision > order.revision =>
             {
                 relay.move_recorded(service, &version, good, current.revision);
--- a/relay/src/prompt_cache.rs
+++ b/relay/src/prompt_cache.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use crate::attempt;
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::state::{Backend, Relay};
 
 /// Longest wait for the servers' answers: a tenth of what reading a usual prompt takes.
@@ -30,7 +30,7 @@
 
 /// Returns the server of `service` that keeps most of `part`, the last part of the prompt of
 /// `request_id`, whose streams are placed by `lot`.
-pub async fn holder<D: Dialect>(
+pub async fn holder<D: Codec>(
     relay: &Relay<D>,
     service: &str,
     request_id: &str,
@@ -38,7 +38,7 @@
     lot: u64,
 ) -> Option<Arc<Backend>> {
     let asked = askable(relay.settings.link_mbps);
-    let backends = relay.likely(service, lot, asked);
+    let backends = relay.likely_servers(service, lot, asked);
     let asked = backends.iter().map(|backend| kept(relay, backend, part));
     let answers = join_all(asked).await;
     let kept = answers.iter().zip(&backends);
@@ -64,11 +64,15 @@
 }
 
 /// Returns how many tokens of `part` a server keeps, or nothing if it does not answer.
-async fn kept<D: Dialect>(relay: &Relay<D>, backend: &Backend, part: &str) -> Option<u64> {
+async fn kept<D: Codec>(relay: &Relay<D>, backend: &Backend, part: &str) -> Option<u64> {
     relay.metrics.questions.inc();
-    let order = relay.dialect.cache_order();
+    let order = relay.dialect.cache_command();
     let asked = attempt::exchange(backend.server.address, order);
     let answer = timeout(ANSWER_TIME, asked).await.ok()?;
     let (parts, body) = answer.ok()?;
-    Some(relay.dialect.cached(parts.status, &body, part))
+    Some(
+        relay
+            .dialect
+            .decode_cached_tokens(parts.status, &body, part),
+    )
 }
--- a/relay/src/rediscover.rs
+++ b/relay/src/rediscover.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::attempt;
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::state::{Backend, Relay};
 
 /// Time between questions.
@@ -25,7 +25,7 @@
 const ANSWER_TIME: Duration = Duration::from_millis(150);
 
 /// Looks for what has taken the place of the servers that are lost, for ever.
-pub async fn run<D: Dialect>(relay: Arc<Relay<D>>) {
+pub async fn run<D: Codec>(relay: Arc<Relay<D>>) {
     loop {
         relay.search_wanted.notified().await;
         for backend in relay.take_searches() {
@@ -36,7 +36,7 @@
     }
 }
 
-async fn search<D: Dialect>(relay: Arc<Relay<D>>, backend: Arc<Backend>) {
+async fn search<D: Codec>(relay: Arc<Relay<D>>, backend: Arc<Backend>) {
     let began = relay.clock.now();
     let mut questions = 0;
     while questions < QUESTIONS {
@@ -73,7 +73,7 @@
 /// The load that this answers: a failure domain's servers that crashed during an outage of the store
 /// have other names when the next one crashes and its streams move there. A send under the old name
 /// is refused, and each refusal takes a repeat from the service's budget; a question does not.
-pub async fn confirm<D: Dialect>(relay: &Relay<D>, backend: &Arc<Backend>) -> Option<Arc<Backend>> {
+pub async fn confirm<D: Codec>(relay: &Relay<D>, backend: &Arc<Backend>) -> Option<Arc<Backend>> {
     if relay.store_up() || !backend.doubted() {
         return Some(Arc::clone(backend));
     }
@@ -84,14 +84,14 @@
         }
         Occupant::Other => relay.successor(backend),
         Occupant::Nobody => {
-            relay.unreachable(backend);
+            relay.record_unreachable(backend);
             None
         }
     }
 }
 
 /// Asks once what answers at the address of a server.
-async fn look<D: Dialect>(relay: &Relay<D>, backend: &Backend) -> Occupant {
+async fn look<D: Codec>(relay: &Relay<D>, backend: &Backend) -> Occupant {
     let address = backend.server.address;
     let asked = async {
         let name = attempt::name(relay, address).await?;
@@ -114,7 +114,7 @@
         "another server answers at the address of a lost one"
     );
     if same {
-        relay.adopt(&backend.server, &name, report.born_ms, false);
+        relay.adopt(&backend.server, &name, report.started_ms, false);
     }
     Occupant::Other
 }
--- a/relay/src/state.rs
+++ b/relay/src/state.rs
@@ -13,9 +13,9 @@
 use medlarfall_runtime::clock::Clock;
 use tokio::sync::{Notify, watch};
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::metrics::Metrics;
-use crate::mirror::Mirror;
+use crate::mirror::Changelog;
 
 mod backend;
 mod beliefs;
@@ -51,7 +51,7 @@
     /// Speed of the machine's link, in Mbit/s.
     pub link_mbps: u32,
     /// Where this entry takes messages of the others.
-    pub exchange: Option<SocketAddr>,
+    pub peer_address: Option<SocketAddr>,
     /// Time from the order to stop until the process is ended.
     pub grace: Duration,
 }
@@ -86,11 +86,11 @@
     /// Whether this entry reads the store, and it answers.
     pub reads: AtomicBool,
     beliefs: Mutex<Beliefs>,
-    mirror: Mutex<Mirror>,
+    mirror: Mutex<Changelog>,
     catching_up: AtomicBool,
 }
 
-impl<D: Dialect> Relay<D> {
+impl<D: Codec> Relay<D> {
     /// Returns a relay that knows nothing yet.
     #[must_use]
     pub fn new(dialect: D, settings: Settings) -> Self {
@@ -119,7 +119,7 @@
     }
 
     /// Reads or changes what was last read in the store.
-    pub fn mirror<T>(&self, act: impl FnOnce(&mut Mirror) -> T) -> T {
+    pub fn mirror<T>(&self, act: impl FnOnce(&mut Changelog) -> T) -> T {
         act(&mut self.mirror.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
--- a/relay/src/state/figures.rs
+++ b/relay/src/state/figures.rs
@@ -2,12 +2,12 @@
 
 use medlarfall_runtime::logging;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::metrics::Figures;
 
 use super::Relay;
 
-impl<D: Dialect> Relay<D> {
+impl<D: Codec> Relay<D> {
     /// Notes that the list of servers is whole as of now: this entry read the store, or a reader
     /// told that nothing is newer.
     pub fn servers_known(&self) {
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -7,7 +7,7 @@
 use medlarfall_coordination::evidence::{Observation, Side};
 use medlarfall_coordination::placement::name_hash;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 
 use super::beliefs::Beliefs;
 use super::{Backend, Relay};
@@ -39,7 +39,7 @@
     pub good: bool,
 }
 
-impl<D: Dialect> Relay<D> {
+impl<D: Codec> Relay<D> {
     /// Takes in the operators' order to move a service, or that it is withdrawn.
     pub fn order_move(&self, service: &Arc<str>, order: Option<Order>) {
         let now = self.clock.now();
@@ -171,7 +171,7 @@
     }
 
     /// Ends the moves whose time has come; returns whether any is still open.
-    pub fn judge_moves(&self) -> bool {
+    pub fn conclude_moves(&self) -> bool {
         let now = self.clock.now();
         let open: Vec<Arc<str>> = self.beliefs(|beliefs| {
             let open = beliefs.canaries.keys();
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -9,7 +9,7 @@
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::exchange::Found;
 
 use super::Relay;
@@ -24,7 +24,7 @@
     pub link_mbps: u32,
 }
 
-impl<D: Dialect> Relay<D> {
+impl<D: Codec> Relay<D> {
     /// Returns the servers that this entry itself could not reach lately, as far as they are to be
     /// told to `everyone` or to those nearby.
     #[must_use]
--- a/relay/src/state/placing.rs
+++ b/relay/src/state/placing.rs
@@ -6,7 +6,7 @@
 use medlarfall_coordination::balance::{self, Candidate};
 use medlarfall_coordination::evidence::Side;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 
 use super::{Backend, Relay};
 
@@ -47,10 +47,10 @@
     pub lot: u64,
 }
 
-impl<D: Dialect> Relay<D> {
+impl<D: Codec> Relay<D> {
     /// Notes that a server could not be reached, or was lost. It is looked for anew, with the
     /// others of its group if they can't be reached either.
-    pub fn unreachable(&self, backend: &Arc<Backend>) {
+    pub fn record_unreachable(&self, backend: &Arc<Backend>) {
         let now = self.clock.now();
         backend.load(|load| load.unreachable(now));
         backend.set_doubted(true);
@@ -97,7 +97,7 @@
     /// Returns the servers of a service that are not suspect and probably took a request with the
     /// lot `lot` before, at most `count`.
     #[must_use]
-    pub fn likely(&self, service: &str, lot: u64, count: usize) -> Vec<Arc<Backend>> {
+    pub fn likely_servers(&self, service: &str, lot: u64, count: usize) -> Vec<Arc<Backend>> {
         let now = self.clock.now();
         let usable: Vec<Arc<Backend>> = self.beliefs(|beliefs| {
             let backends = beliefs.backends.get(service).into_iter().flatten();
--- a/relay/src/state/servers.rs
+++ b/relay/src/state/servers.rs
@@ -6,12 +6,12 @@
 
 use medlarfall_coordination::roster::{Effect, Server};
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::exchange::Found;
 
 use super::{Backend, Relay};
 
-impl<D: Dialect> Relay<D> {
+impl<D: Codec> Relay<D> {
     /// Takes in what a server announced, and how much longer it is slow after its start.
     pub fn announce(&self, server: Server, cold: Duration, revision: u64) {
         let id = Arc::clone(&server.id);
@@ -53,7 +53,7 @@
     }
 
     /// Notes whether the store answers, and drops servers that did not come back after an outage.
-    pub fn store_answers(&self, answers: bool) {
+    pub fn set_store_available(&self, answers: bool) {
         let now = self.clock.now();
         let expired = self.beliefs(|beliefs| {
             if answers {
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -14,7 +14,7 @@
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::{self, Answer, Failure};
 use crate::copy::Keeper;
-use crate::dialect::{Copy, Dialect, Send};
+use crate::dialect::{Backup, Codec, Dispatch};
 use crate::intake::Job;
 use crate::metrics::Open;
 use crate::monitor::{self, Subscription};
@@ -47,7 +47,7 @@
 const REFUSALS: u32 = 6;
 
 /// A run at a server.
-struct Run<D: Dialect> {
+struct Run<D: Codec> {
     backend: Arc<Backend>,
     subscription: Subscription,
     place: Place<D>,
@@ -56,7 +56,7 @@
 }
 
 /// A stream that is being answered.
-struct Stream<D: Dialect> {
+struct Stream<D: Codec> {
     relay: Arc<Relay<D>>,
     job: Job,
     last_event: Option<u64>,
@@ -80,13 +80,13 @@
 }
 
 /// A server's answer, and the run that makes it.
-struct Opened<D: Dialect> {
+struct Opened<D: Codec> {
     run: Run<D>,
     answer: Answer,
 }
 
 /// Answers a stream.
-pub async fn answer<D: Dialect>(relay: &Arc<Relay<D>>, job: Job) -> Response<Content> {
+pub async fn answer<D: Codec>(relay: &Arc<Relay<D>>, job: Job) -> Response<Content> {
     let deadline = relay.clock.instant(job.deadline);
     let mut stream = Stream::new(Arc::clone(relay), job);
     let opened = tokio::time::timeout_at(deadline, stream.open()).await;
@@ -107,7 +107,7 @@
     }
 }
 
-impl<D: Dialect> Stream<D> {
+impl<D: Codec> Stream<D> {
     fn new(relay: Arc<Relay<D>>, job: Job) -> Self {
         Self {
             last_event: job.caller.last_event,
@@ -201,7 +201,7 @@
     async fn confirm(
         &mut self,
         chosen: &Arc<Backend>,
-        copy: Option<&Copy>,
+        copy: Option<&Backup>,
     ) -> Option<Arc<Backend>> {
         let there = rediscover::confirm(&self.relay, chosen).await;
         let same = |there: &Arc<Backend>| there.server.id == chosen.server.id;
@@ -268,7 +268,7 @@
 
     /// Chooses the next server: the one with the run's copy, else any; waits a little for one
     /// where none is known.
-    async fn next(&mut self) -> Option<(Arc<Backend>, Option<Copy>)> {
+    async fn next(&mut self) -> Option<(Arc<Backend>, Option<Backup>)> {
         if let Some(copied) = self.take_copy() {
             return Some(copied);
         }
@@ -300,18 +300,18 @@
     async fn send(
         &mut self,
         backend: &Arc<Backend>,
-        copy: Option<Copy>,
+        copy: Option<Backup>,
         cached: bool,
     ) -> Result<Opened<D>, Failure> {
         let began = self.relay.clock.now();
         let backup = self.choose_backup(backend);
-        let send = Send {
+        let send = Dispatch {
             server: Arc::clone(&backend.server),
             account: self.job.account.as_ref().map(|a| Arc::clone(&a.name)),
             priority: self.job.priority(),
-            remains: self.job.deadline.saturating_sub(began),
-            backup: backup.as_ref().map(|backup| backup.server.address),
-            copy,
+            remaining: self.job.deadline.saturating_sub(began),
+            backup_target: backup.as_ref().map(|backup| backup.server.address),
+            resume_from: copy,
             last_event: self.last_event,
         };
         log::info!(
@@ -319,11 +319,11 @@
             failure_domain = &*backend.server.failure_domain,
             load = self.relay.stream_load(backend), own = backend.load(|load| load.own()),
             backup = backup.as_ref().map_or("", |backup| &*backup.server.id),
-            copy = send.copy.as_ref().map_or("", |copy| &*copy.handle),
+            copy = send.resume_from.as_ref().map_or("", |copy| &*copy.handle),
             last_event = self.last_event.unwrap_or(0);
             "stream sent"
         );
-        let reading = !cached && send.copy.is_none();
+        let reading = !cached && send.resume_from.is_none();
         let place = Place::take(&self.relay, backend, reading);
         let mut subscription = monitor::subscribe(&self.relay, backend);
         let relay = Arc::clone(&self.relay);
--- a/relay/src/stream/copies.rs
+++ b/relay/src/stream/copies.rs
@@ -3,15 +3,15 @@
 use std::sync::Arc;
 
 use crate::copy;
-use crate::dialect::{Copy, Dialect};
+use crate::dialect::{Backup, Codec};
 use crate::state::{Backend, Wanted};
 
 use super::Stream;
 
-impl<D: Dialect> Stream<D> {
+impl<D: Codec> Stream<D> {
     /// Takes the run's copy, if there is one and its holder still has it. A run that has made no
     /// event has none.
-    pub(super) fn take_copy(&mut self) -> Option<(Arc<Backend>, Option<Copy>)> {
+    pub(super) fn take_copy(&mut self) -> Option<(Arc<Backend>, Option<Backup>)> {
         let keeper = self.keeper.take();
         let backup = self.backup.take();
         if !self.begun {
@@ -23,7 +23,7 @@
             return copy.map(|copy| (holder, Some(copy)));
         }
         let backup = backup.filter(|backup| self.relay.listed(backup))?;
-        let copy = Copy {
+        let copy = Backup {
             holder: backup.server.address,
             handle: Arc::clone(&self.job.original.request_id),
         };
--- a/relay/src/stream/passing.rs
+++ b/relay/src/stream/passing.rs
@@ -12,7 +12,7 @@
 
 use crate::answer::{Content, Part, Reason, Refusal};
 use crate::attempt::Guard;
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::events::Splitter;
 use crate::state::Backend;
 
@@ -22,7 +22,7 @@
 const EVENTS_WAITING: usize = 256;
 
 /// Where a stream's events come from.
-struct Source<D: Dialect> {
+struct Source<D: Codec> {
     body: Incoming,
     run: Run<D>,
     #[expect(
@@ -45,11 +45,11 @@
     Lost(&'static str),
 }
 
-impl<D: Dialect> Stream<D> {
+impl<D: Codec> Stream<D> {
     /// Begins the answer to the caller, and hands on the events on a task of its own.
     pub(super) async fn respond(mut self, opened: Opened<D>) -> Response<Content> {
         let (parts, body) = opened.answer.response.into_parts();
-        let mut headers = self.relay.dialect.answer_headers(&parts.headers);
+        let mut headers = self.relay.dialect.response_headers(&parts.headers);
         let status = parts.status;
         if !status.is_success() {
             return self.whole(status, headers, body).await;
@@ -171,7 +171,7 @@
             _ => {}
         }
         if cause != "silent" {
-            self.relay.unreachable(failed);
+            self.relay.record_unreachable(failed);
         }
         log::info!(
             request = &*self.job.original.request_id, server = &*failed.server.id,
--- a/relay/src/stream/place.rs
+++ b/relay/src/stream/place.rs
@@ -5,17 +5,17 @@
 
 use medlarfall_coordination::balance::Load;
 
-use crate::dialect::Dialect;
+use crate::dialect::Codec;
 use crate::state::{Backend, Relay};
 
 /// A stream's place at a server, counted until this is dropped.
-pub struct Place<D: Dialect> {
+pub struct Place<D: Codec> {
     relay: Arc<Relay<D>>,
     backend: Arc<Backend>,
     reading: bool,
 }
 
-impl<D: Dialect> Place<D> {
+impl<D: Codec> Place<D> {
     /// Counts a stream at `backend`, whose prompt is to be read there unless the server has it.
     pub fn take(relay: &Arc<Relay<D>>, backend: &Arc<Backend>, reading: bool) -> Self {
         if reading {
@@ -39,7 +39,7 @@
     }
 }
 
-impl<D: Dialect> Drop for Place<D> {
+impl<D: Codec> Drop for Place<D> {
     fn drop(&mut self) {
         self.read();
         self.backend.streams.fetch_sub(1, Ordering::Relaxed);
--- a/relay/tests/mirror.rs
+++ b/relay/tests/mirror.rs
@@ -1,6 +1,6 @@
 //! What an entry tells another of the store.
 
-use medlarfall_relay::mirror::Mirror;
+use medlarfall_relay::mirror::Changelog;
 use medlarfall_runtime::store::Change;
 
 fn change(key: &str, value: Option<&str>, revision: u64) -> Change {
@@ -13,12 +13,12 @@
 
 #[test]
 fn the_newest_change_of_each_key_is_told_oldest_first() {
-    let mut mirror = Mirror::default();
+    let mut mirror = Changelog::default();
     mirror.insert(&change("a", Some("1"), 5));
     mirror.insert(&change("b", Some("1"), 7));
     mirror.insert(&change("a", None, 9));
     mirror.insert(&change("a", Some("old"), 6));
-    mirror.complete(9);
+    mirror.mark_complete(9);
     let told = mirror.after(0);
     assert_eq!(told.revision, 9);
     assert_eq!(
@@ -30,18 +30,18 @@
 
 #[test]
 fn what_is_complete_never_goes_back() {
-    let mut mirror = Mirror::default();
-    mirror.complete(9);
-    mirror.complete(4);
+    let mut mirror = Changelog::default();
+    mirror.mark_complete(9);
+    mirror.mark_complete(4);
     assert_eq!(mirror.revision(), 9);
 }
 
 #[test]
 fn removed_keys_are_bounded() {
-    let mut mirror = Mirror::default();
+    let mut mirror = Changelog::default();
     for revision in 1..=20_000_u64 {
         mirror.insert(&change(&format!("k{revision}"), None, revision));
-        mirror.complete(revision);
+        mirror.mark_complete(revision);
     }
     assert!(mirror.after(0).changes.len() <= 4_096);
 }
