--- a/relay/src/attempt.rs
+++ b/relay/src/attempt.rs
@@ -160,7 +160,7 @@
     let mut request = Request::new(Full::new(original.body.clone()));
     *request.method_mut() = original.method.clone();
     *request.uri_mut() = original.uri.clone();
-    *request.headers_mut() = relay.dialect.headers(&original.headers, send);
+    *request.headers_mut() = relay.codec.request_headers(&original.headers, send);
     let response = sender.send_request(request).await.map_err(|error| {
         let now = relay.clock.now();
         backend.load(|load| load.outcome(true, now));
@@ -168,7 +168,7 @@
         Failure::Lost { reason }
     })?;
     let (parts, body) = response.into_parts();
-    let reply = relay.dialect.decode_reply(&original.request_id, &parts);
+    let reply = relay.codec.decode_reply(&original.request_id, &parts);
     let now = relay.clock.now();
     if let Some(requests) = reply.requests {
         backend.load(|load| load.reported(requests, now));
@@ -236,8 +236,8 @@
 /// Returns why there is none.
 pub async fn report<D: Codec>(relay: &Relay<D>, address: SocketAddr) -> Result<Report, String> {
     relay.metrics.questions.inc();
-    let (parts, body) = exchange(address, get(relay.dialect.report_path())).await?;
-    let report = relay.dialect.report(parts.status, &body);
+    let (parts, body) = exchange(address, get(relay.codec.report_path())).await?;
+    let report = relay.codec.decode_report(parts.status, &body);
     report.ok_or_else(|| format!("status {} without a report", parts.status))
 }
 
@@ -248,7 +248,7 @@
 /// Returns why there is none.
 pub async fn name<D: Codec>(relay: &Relay<D>, address: SocketAddr) -> Result<Arc<str>, String> {
     relay.metrics.questions.inc();
-    let (parts, _) = exchange(address, get(relay.dialect.health_path())).await?;
-    let name = relay.dialect.decode_health(&parts);
+    let (parts, _) = exchange(address, get(relay.codec.health_path())).await?;
+    let name = relay.codec.decode_health(&parts);
     name.ok_or_else(|| format!("status {}", parts.status))
 }
--- a/relay/src/call.rs
+++ b/relay/src/call.rs
@@ -92,7 +92,7 @@
             *response.headers_mut() = taken.headers;
             response
         }
-        Err(refusal) => refusal.response(&relay.dialect, Some(&job.original.request_id)),
+        Err(refusal) => refusal.response(&relay.codec, Some(&job.original.request_id)),
     }
 }
 
@@ -265,7 +265,7 @@
         response, guard, ..
     } = answer;
     let (parts, mut body) = response.into_parts();
-    let mut headers = relay.dialect.response_headers(&parts.headers);
+    let mut headers = relay.codec.response_headers(&parts.headers);
     let length = body.size_hint().exact();
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/relay/src/copy.rs
+++ b/relay/src/copy.rs
@@ -49,7 +49,7 @@
         let Some(handle) = self.handle.borrow().clone() else {
             return;
         };
-        let order = relay.dialect.free_command(&handle);
+        let order = relay.codec.free_command(&handle);
         let source = self.source;
         tokio::spawn(async move {
             let freed = tokio::time::timeout(COPY_TIME, attempt::exchange(source, order)).await;
@@ -74,10 +74,10 @@
     let request_id = Arc::clone(request_id);
     let task = tokio::spawn(async move {
         loop {
-            let order = relay.dialect.copy_command(&request_id, target);
+            let order = relay.codec.copy_command(&request_id, target);
             let made = tokio::time::timeout(COPY_TIME, attempt::exchange(source, order)).await;
             let made = match made {
-                Ok(Ok((parts, body))) => relay.dialect.decode_copy(parts.status, &body),
+                Ok(Ok((parts, body))) => relay.codec.decode_copy(parts.status, &body),
                 _ => None,
             };
             log::info!(
--- a/relay/src/dialect.rs
+++ b/relay/src/dialect.rs
@@ -162,7 +162,7 @@
 
     /// Returns the headers of a send: the caller's, but for those that concern one connection or
     /// that only this system may set, and what the send adds.
-    fn headers(&self, caller: &HeaderMap, send: &Dispatch) -> HeaderMap;
+    fn request_headers(&self, caller: &HeaderMap, send: &Dispatch) -> HeaderMap;
 
     /// Decodes the head of a server's answer to the request `request_id`.
     fn decode_reply(&self, request_id: &str, parts: &Parts) -> Reply;
@@ -178,7 +178,7 @@
     fn report_path(&self) -> &'static str;
 
     /// Decodes a server's report on itself.
-    fn report(&self, status: StatusCode, body: &[u8]) -> Option<Report>;
+    fn decode_report(&self, status: StatusCode, body: &[u8]) -> Option<Report>;
 
     /// Returns the path at which a server tells its health and its name.
     fn health_path(&self) -> &'static str;
@@ -206,7 +206,7 @@
     /// # Errors
     ///
     /// Returns what is wrong with a configuration.
-    fn entry(&self, change: &Change) -> Result<Record, Invalid>;
+    fn decode_record(&self, change: &Change) -> Result<Record, Invalid>;
 
     /// Returns the key and value that tell the operators how a move to `version` has ended.
     fn move_status(&self, service: &str, version: &str, good: bool) -> (String, String);
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -141,7 +141,7 @@
     if let Some(News { after, changes }) = message.news {
         follow::take_news(relay, after, &changes);
     }
-    let behind = message.revision > relay.mirror(|mirror| mirror.revision());
+    let behind = message.revision > relay.changelog(|mirror| mirror.revision());
     if message.reads && !behind {
         relay.servers_known();
     }
@@ -169,7 +169,7 @@
     if told == 0 || !relay.reads.load(Ordering::Relaxed) {
         return None;
     }
-    let changes = relay.mirror(|mirror| mirror.after(told));
+    let changes = relay.changelog(|mirror| mirror.changes_since(told));
     let length = |change: &Change| change.key.len() + change.value.as_ref().map_or(0, String::len);
     let bytes: usize = changes.changes.iter().map(length).sum();
     let fits = changes.revision > told && bytes <= NEWS_LIMIT;
@@ -198,7 +198,7 @@
         }
         let news = news(&relay, told);
         let everyone = news.is_some() || relay.has_found() || told_all.elapsed() >= longest;
-        let revision = relay.mirror(|mirror| mirror.revision());
+        let revision = relay.changelog(|mirror| mirror.revision());
         if everyone {
             told_all = Instant::now();
             told = revision;
@@ -283,7 +283,7 @@
         return Ok(lease);
     }
     let lease = store.grant(LEASE_TIME).await?;
-    let key = relay.dialect.entry_key(&relay.settings.entry);
+    let key = relay.codec.entry_key(&relay.settings.entry);
     let value = address.to_string();
     match store.put(&key, value.clone(), 0, Some(lease)).await {
         Err(Error::Conflict {
--- a/relay/src/follow.rs
+++ b/relay/src/follow.rs
@@ -70,7 +70,7 @@
             continue;
         }
         // Others may have told of changes that this entry did not read itself.
-        place = place.at_least(relay.mirror(|mirror| mirror.revision()));
+        place = place.at_least(relay.changelog(|mirror| mirror.revision()));
         relay.metrics.store_calls.inc();
         let (next, reason) = match step(&relay, &store, place).await {
             Ok(next) => (next, None),
@@ -121,7 +121,7 @@
             let listing = within(Duration::ZERO, store.list("")).await?;
             let mut listed = HashSet::new();
             for item in listing.items {
-                if let Some(id) = relay.dialect.server_id(&item.key) {
+                if let Some(id) = relay.codec.server_id(&item.key) {
                     listed.insert(Arc::from(id));
                 }
                 let change = Change {
@@ -132,7 +132,7 @@
                 apply(relay, &change);
             }
             relay.retain(&listed, listing.revision);
-            relay.mirror(|mirror| mirror.mark_complete(listing.revision));
+            relay.changelog(|mirror| mirror.mark_complete(listing.revision));
             Ok(Place::At(listing.revision))
         }
         Place::At(revision) => {
@@ -143,7 +143,7 @@
             for change in &changes {
                 apply(relay, change);
             }
-            relay.mirror(|mirror| mirror.mark_complete(revision));
+            relay.changelog(|mirror| mirror.mark_complete(revision));
             Ok(Place::At(revision))
         }
     }
@@ -164,7 +164,7 @@
 
 /// Takes in the changes after a revision that another entry read.
 pub fn take_news<D: Codec>(relay: &Relay<D>, after: u64, news: &Changes) {
-    let own = relay.mirror(|mirror| mirror.revision());
+    let own = relay.changelog(|mirror| mirror.revision());
     if own == 0 || news.revision <= own {
         return;
     }
@@ -172,14 +172,14 @@
         apply(relay, change);
     }
     if after <= own {
-        relay.mirror(|mirror| mirror.mark_complete(news.revision));
+        relay.changelog(|mirror| mirror.mark_complete(news.revision));
     }
 }
 
 /// Takes in one change.
 pub fn apply<D: Codec>(relay: &Relay<D>, change: &Change) {
-    relay.mirror(|mirror| mirror.insert(change));
-    match relay.dialect.entry(change) {
+    relay.changelog(|mirror| mirror.insert(change));
+    match relay.codec.decode_record(change) {
         Ok(Record::Configuration(table)) => relay.configure(table),
         Ok(Record::Server {
             server,
--- a/relay/src/intake.rs
+++ b/relay/src/intake.rs
@@ -85,7 +85,7 @@
 ) -> Result<Response<Content>, Infallible> {
     let began = relay.clock.now();
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let caller = relay.dialect.decode_request(request.headers());
+    let caller = relay.codec.decode_request(request.headers());
     let id = caller.as_ref().ok();
     let id = id.map(|caller| Arc::clone(&caller.request_id));
     let mut response = match receive(&relay, request, caller, began).await {
@@ -93,7 +93,7 @@
         Ok(job) => call::answer(&relay, job).await,
         Err(refusal) => {
             refused(&relay, &refusal, id.as_deref().unwrap_or(""));
-            refusal.response(&relay.dialect, id.as_deref())
+            refusal.response(&relay.codec, id.as_deref())
         }
     };
     // After a chunked body the connection ends: what follows it may be a request in disguise.
--- a/relay/src/mirror.rs
+++ b/relay/src/mirror.rs
@@ -82,7 +82,7 @@
 
     /// Returns the changes after a revision, oldest first.
     #[must_use]
-    pub fn after(&self, revision: u64) -> Changes {
+    pub fn changes_since(&self, revision: u64) -> Changes {
         let mut changes: Vec<Change> = self
             .changes
             .values()
@@ -105,7 +105,7 @@
 fn reply<D: Codec>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let after = request.uri().path().strip_prefix(PATH);
     let after = after.and_then(|after| after.parse().ok());
-    let changes = after.map(|after| relay.mirror(|mirror| mirror.after(after)));
+    let changes = after.map(|after| relay.changelog(|mirror| mirror.changes_since(after)));
     let body = changes.map(|changes| packing::pack(&changes));
     let mut response = Response::new(Full::from(Bytes::new()));
     match body {
@@ -122,7 +122,7 @@
 /// Catches up from a peer that has read up to `revision`, if this entry is still behind after a
 /// short while.
 pub async fn catch_up<D: Codec>(relay: Arc<Relay<D>>, peer: SocketAddr, revision: u64) {
-    let own = || relay.mirror(|mirror| mirror.revision());
+    let own = || relay.changelog(|mirror| mirror.revision());
     if own() > 0 {
         sleep(PATIENCE).await;
     }
@@ -152,7 +152,7 @@
             for change in &changes.changes {
                 follow::apply(&relay, change);
             }
-            relay.mirror(|mirror| mirror.mark_complete(changes.revision));
+            relay.changelog(|mirror| mirror.mark_complete(changes.revision));
         }
         Err(reason) => log::info!(peer = peer.as_str(), reason = reason.as_str(); "not caught up"),
     }
--- a/relay/src/moves.rs
+++ b/relay/src/moves.rs
@@ -44,7 +44,7 @@
         order,
         good,
     } = ended;
-    let (key, value) = relay.dialect.move_status(service, &order.version, *good);
+    let (key, value) = relay.codec.move_status(service, &order.version, *good);
     relay.metrics.store_calls.inc();
     let mut written = within(Duration::ZERO, store.put(&key, value.clone(), 0, None)).await;
     if let Err(Error::Conflict {
@@ -56,7 +56,7 @@
             value: Some(current.value.clone()),
             revision: current.revision,
         };
-        match relay.dialect.entry(&change) {
+        match relay.codec.decode_record(&change) {
             Ok(Record::MoveEnd { version, good, .. })
                 if version == order.version && current.revision > order.revision =>
             {
--- a/relay/src/prompt_cache.rs
+++ b/relay/src/prompt_cache.rs
@@ -66,13 +66,9 @@
 /// Returns how many tokens of `part` a server keeps, or nothing if it does not answer.
 async fn kept<D: Codec>(relay: &Relay<D>, backend: &Backend, part: &str) -> Option<u64> {
     relay.metrics.questions.inc();
-    let order = relay.dialect.cache_command();
+    let order = relay.codec.cache_command();
     let asked = attempt::exchange(backend.server.address, order);
     let answer = timeout(ANSWER_TIME, asked).await.ok()?;
     let (parts, body) = answer.ok()?;
-    Some(
-        relay
-            .dialect
-            .decode_cached_tokens(parts.status, &body, part),
-    )
+    Some(relay.codec.decode_cached_tokens(parts.status, &body, part))
 }
--- a/relay/src/state.rs
+++ b/relay/src/state.rs
@@ -60,7 +60,7 @@
 #[derive(Debug)]
 pub struct Relay<D> {
     /// The outside protocol.
-    pub dialect: D,
+    pub codec: D,
     /// Settings.
     pub settings: Settings,
     /// The clock.
@@ -95,7 +95,7 @@
     #[must_use]
     pub fn new(dialect: D, settings: Settings) -> Self {
         Self {
-            dialect,
+            codec: dialect,
             memory: budget::Budget::new(settings.held_bytes),
             settings,
             clock: Clock::start(),
@@ -119,7 +119,7 @@
     }
 
     /// Reads or changes what was last read in the store.
-    pub fn mirror<T>(&self, act: impl FnOnce(&mut Changelog) -> T) -> T {
+    pub fn changelog<T>(&self, act: impl FnOnce(&mut Changelog) -> T) -> T {
         act(&mut self.mirror.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -51,7 +51,7 @@
             return;
         };
         // An order that was there when this entry started may be of any age.
-        let given_now = self.mirror(|mirror| mirror.revision()) > 0;
+        let given_now = self.changelog(|changelog| changelog.revision()) > 0;
         let steps = u32::try_from(name_hash(&self.settings.entry) % u64::from(OFFSETS));
         let offset = f64::from(steps.unwrap_or(0)) / f64::from(OFFSETS);
         let known = self.beliefs(|beliefs| {
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -102,7 +102,7 @@
         Ok(opened) => stream.respond(opened).await,
         Err(refusal) => {
             stream.ended(refusal.reason.status().as_u16(), refusal.reason.name());
-            refusal.response(&relay.dialect, Some(&stream.job.original.request_id))
+            refusal.response(&relay.codec, Some(&stream.job.original.request_id))
         }
     }
 }
--- a/relay/src/stream/passing.rs
+++ b/relay/src/stream/passing.rs
@@ -49,7 +49,7 @@
     /// Begins the answer to the caller, and hands on the events on a task of its own.
     pub(super) async fn respond(mut self, opened: Opened<D>) -> Response<Content> {
         let (parts, body) = opened.answer.response.into_parts();
-        let mut headers = self.relay.dialect.response_headers(&parts.headers);
+        let mut headers = self.relay.codec.response_headers(&parts.headers);
         let status = parts.status;
         if !status.is_success() {
             return self.whole(status, headers, body).await;
@@ -98,7 +98,7 @@
         let Ok(body) = body.collect().await else {
             self.ended(Reason::Lost.status().as_u16(), Reason::Lost.name());
             let id = Some(&*self.job.original.request_id);
-            return Refusal::new(Reason::Lost).response(&self.relay.dialect, id);
+            return Refusal::new(Reason::Lost).response(&self.relay.codec, id);
         };
         let body = body.to_bytes();
         headers.insert(CONTENT_LENGTH, body.len().into());
--- a/relay/tests/mirror.rs
+++ b/relay/tests/mirror.rs
@@ -19,13 +19,13 @@
     mirror.insert(&change("a", None, 9));
     mirror.insert(&change("a", Some("old"), 6));
     mirror.mark_complete(9);
-    let told = mirror.after(0);
+    let told = mirror.changes_since(0);
     assert_eq!(told.revision, 9);
     assert_eq!(
         told.changes,
         [change("b", Some("1"), 7), change("a", None, 9)]
     );
-    assert_eq!(mirror.after(7).changes, [change("a", None, 9)]);
+    assert_eq!(mirror.changes_since(7).changes, [change("a", None, 9)]);
 }
 
 #[test]
@@ -43,5 +43,5 @@
         mirror.insert(&change(&format!("k{revision}"), None, revision));
         mirror.mark_complete(revision);
     }
-    assert!(mirror.after(0).changes.len() <= 4_096);
+    assert!(mirror.changes_since(0).changes.len() <= 4_096);
 }
