--- a/relay/src/answer.rs
+++ b/relay/src/answer.rs
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 use tokio::sync::mpsc;
 
-use crate::dialect::Codec;
+use crate::codec::Codec;
 
 /// A body that broke off; the connection is closed without the body's end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/relay/src/attempt.rs
+++ b/relay/src/attempt.rs
@@ -20,7 +20,7 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use crate::dialect::{Codec, Command, Dispatch, Reply, Report};
+use crate::codec::{Codec, Command, Dispatch, Reply, Report};
 use crate::state::{Backend, Relay};
 
 /// Longest time to connect. A connection within a region takes a few milliseconds; where the
--- a/relay/src/copy.rs
+++ b/relay/src/backup.rs
@@ -8,7 +8,7 @@
 use tokio::task::AbortHandle;
 
 use crate::attempt;
-use crate::dialect::{Backup, Codec};
+use crate::codec::{Backup, Codec};
 use crate::state::{Backend, Relay};
 
 /// Time between orders to bring a copy up to date. A server frees a copy that is 4 s old.
--- a/relay/src/exchange.rs
+++ b/relay/src/broadcast.rs
@@ -20,11 +20,11 @@
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::dialect::Codec;
-use crate::follow;
-use crate::mirror;
-use crate::packing;
+use crate::changelog;
+use crate::codec::Codec;
+use crate::encoding;
 use crate::state::Relay;
+use crate::store_watch;
 
 /// Shortest time between two messages: several changes go into one.
 const SHORTEST: Duration = Duration::from_millis(10);
@@ -119,7 +119,7 @@
 
 /// Takes in a message.
 fn hear<D: Codec>(relay: &Arc<Relay<D>>, bytes: &[u8], from: SocketAddr) {
-    let message: Message = match packing::unpack(bytes) {
+    let message: Message = match encoding::unpack(bytes) {
         Ok(message) => message,
         Err(error) => {
             log::warn!(
@@ -139,7 +139,7 @@
     } = &message;
     relay.peer_reads(entry, failure_domain, *link_mbps, *reads);
     if let Some(News { after, changes }) = message.news {
-        follow::take_news(relay, after, &changes);
+        store_watch::take_news(relay, after, &changes);
     }
     let behind = message.revision > relay.changelog(|mirror| mirror.revision());
     if message.reads && !behind {
@@ -148,7 +148,7 @@
     if behind && !relay.begin_catching_up() {
         let relay = Arc::clone(relay);
         tokio::spawn(async move {
-            mirror::catch_up(Arc::clone(&relay), from, message.revision).await;
+            changelog::catch_up(Arc::clone(&relay), from, message.revision).await;
             relay.end_catching_up();
         });
     }
@@ -224,7 +224,7 @@
                 Vec::new()
             },
         };
-        let bytes = match packing::pack(&message) {
+        let bytes = match encoding::pack(&message) {
             Ok(bytes) => bytes,
             Err(error) => {
                 log::error!(reason = error.to_string().as_str(); "message can't be written");
--- a/relay/src/call.rs
+++ b/relay/src/call.rs
@@ -13,8 +13,8 @@
 
 use crate::answer::{Content, Part, Reason, Refusal};
 use crate::attempt::{self, Answer, Failure};
-use crate::dialect::{Codec, Dispatch};
-use crate::intake::{Job, SHORT_WAIT};
+use crate::codec::{Codec, Dispatch};
+use crate::ingress::{Job, SHORT_WAIT};
 use crate::state::{Backend, Measure, Relay, Sight, Wanted};
 
 /// Largest answer that is read whole before the caller gets its first byte, so that one that
--- a/relay/src/mirror.rs
+++ b/relay/src/changelog.rs
@@ -19,11 +19,11 @@
 use tokio::time::{sleep, timeout};
 
 use crate::attempt;
-use crate::dialect::{Codec, Command};
-use crate::follow;
-use crate::inner;
-use crate::packing;
+use crate::codec::{Codec, Command};
+use crate::encoding;
+use crate::internal_http;
 use crate::state::Relay;
+use crate::store_watch;
 
 /// Time that an entry waits for its own watch before it asks a peer that is ahead.
 const PATIENCE: Duration = Duration::from_millis(150);
@@ -99,14 +99,14 @@
 
 /// Serves the changes to the other entries.
 pub async fn serve<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener) {
-    inner::serve(listener, move |request| reply(&relay, request)).await;
+    internal_http::serve(listener, move |request| reply(&relay, request)).await;
 }
 
 fn reply<D: Codec>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let after = request.uri().path().strip_prefix(PATH);
     let after = after.and_then(|after| after.parse().ok());
     let changes = after.map(|after| relay.changelog(|mirror| mirror.changes_since(after)));
-    let body = changes.map(|changes| packing::pack(&changes));
+    let body = changes.map(|changes| encoding::pack(&changes));
     let mut response = Response::new(Full::from(Bytes::new()));
     match body {
         Some(Ok(body)) => *response.body_mut() = Full::from(body),
@@ -137,7 +137,7 @@
     };
     let asked = timeout(ANSWER_TIME, attempt::exchange(peer, order)).await;
     let changes = match asked {
-        Ok(Ok((_, body))) => packing::unpack::<Changes>(&body).map_err(|e| e.to_string()),
+        Ok(Ok((_, body))) => encoding::unpack::<Changes>(&body).map_err(|e| e.to_string()),
         Ok(Err(error)) => Err(error),
         Err(_) => Err("no answer in time".to_owned()),
     };
@@ -150,7 +150,7 @@
                 "caught up from a peer"
             );
             for change in &changes.changes {
-                follow::apply(&relay, change);
+                store_watch::apply(&relay, change);
             }
             relay.changelog(|mirror| mirror.mark_complete(changes.revision));
         }
--- a/relay/src/daemon.rs
+++ b/relay/src/daemon.rs
@@ -14,9 +14,9 @@
 
 use medlarfall_runtime::store::Store;
 
-use crate::dialect::Codec;
+use crate::codec::Codec;
 use crate::state::Relay;
-use crate::{exchange, follow, inner, listener, mirror, moves, rediscover};
+use crate::{broadcast, changelog, internal_http, listener, moves, rediscover, store_watch};
 
 /// Time after the order to stop until kept connections are closed: the platform asks once a second
 /// and sends nothing new after two answers that are not ready.
@@ -37,7 +37,7 @@
     stop: impl Future<Output = ()>,
 ) {
     let tracker = TaskTracker::new();
-    tokio::spawn(follow::run(Arc::clone(&relay), store.clone()));
+    tokio::spawn(store_watch::run(Arc::clone(&relay), store.clone()));
     tokio::spawn(moves::run(Arc::clone(&relay), store.clone()));
     tokio::spawn(rediscover::run(Arc::clone(&relay)));
     let readiness_address = bound(&readiness);
@@ -45,9 +45,9 @@
     if let Some(address) = relay.settings.peer_address {
         match messages(address).await {
             Ok((socket, listener)) => {
-                tokio::spawn(mirror::serve(Arc::clone(&relay), listener));
-                tokio::spawn(exchange::run(Arc::clone(&relay), socket));
-                tokio::spawn(exchange::register(
+                tokio::spawn(changelog::serve(Arc::clone(&relay), listener));
+                tokio::spawn(broadcast::run(Arc::clone(&relay), socket));
+                tokio::spawn(broadcast::register(
                     Arc::clone(&relay),
                     store.clone(),
                     address,
@@ -97,7 +97,7 @@
 
 /// Answers whether the entry is ready, and serves its metrics.
 pub async fn serve_status<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener) {
-    inner::serve(listener, move |request| reply(&relay, request)).await;
+    internal_http::serve(listener, move |request| reply(&relay, request)).await;
 }
 
 fn reply<D: Codec>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
--- a/relay/src/intake.rs
+++ b/relay/src/ingress.rs
@@ -16,7 +16,7 @@
 
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::Original;
-use crate::dialect::{Codec, Head};
+use crate::codec::{Codec, Head};
 use crate::state::Relay;
 use crate::{call, stream};
 
@@ -117,7 +117,7 @@
 async fn receive<D: Codec>(
     relay: &Arc<Relay<D>>,
     request: Request<Incoming>,
-    caller: Result<Head, crate::dialect::Invalid>,
+    caller: Result<Head, crate::codec::Invalid>,
     began: Duration,
 ) -> Result<Job, Refusal> {
     let caller = caller.map_err(|_| Refusal::new(Reason::Malformed))?;
--- a/relay/src/listener.rs
+++ b/relay/src/listener.rs
@@ -10,8 +10,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::task::TaskTracker;
 
-use crate::dialect::Codec;
-use crate::intake;
+use crate::codec::Codec;
+use crate::ingress;
 use crate::state::Relay;
 
 /// Callers may reuse a connection until shortly before the limit on idle time; the connection is
@@ -45,7 +45,7 @@
     let mut draining = relay.draining.subscribe();
     let service = {
         let relay = Arc::clone(&relay);
-        service_fn(move |request| intake::handle(Arc::clone(&relay), request))
+        service_fn(move |request| ingress::handle(Arc::clone(&relay), request))
     };
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/relay/src/monitor.rs
+++ b/relay/src/monitor.rs
@@ -10,7 +10,7 @@
 use tokio::sync::watch;
 
 use crate::attempt;
-use crate::dialect::{Codec, Report};
+use crate::codec::{Codec, Report};
 use crate::state::{Backend, Relay};
 
 /// What is known of a server with streams.
--- a/relay/src/moves.rs
+++ b/relay/src/moves.rs
@@ -8,9 +8,9 @@
 
 use medlarfall_runtime::store::{Change, Error, Store};
 
-use crate::dialect::{Codec, Record};
-use crate::follow::within;
+use crate::codec::{Codec, Record};
 use crate::state::{Ended, Relay};
+use crate::store_watch::within;
 
 /// Time between two looks at moves that are under way.
 const INTERVAL: Duration = Duration::from_millis(100);
--- a/relay/src/prompt_cache.rs
+++ b/relay/src/prompt_cache.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use crate::attempt;
-use crate::dialect::Codec;
+use crate::codec::Codec;
 use crate::state::{Backend, Relay};
 
 /// Longest wait for the servers' answers: a tenth of what reading a usual prompt takes.
--- a/relay/src/rediscover.rs
+++ b/relay/src/rediscover.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::attempt;
-use crate::dialect::Codec;
+use crate::codec::Codec;
 use crate::state::{Backend, Relay};
 
 /// Time between questions.
--- a/relay/src/state.rs
+++ b/relay/src/state.rs
@@ -13,22 +13,22 @@
 use medlarfall_runtime::clock::Clock;
 use tokio::sync::{Notify, watch};
 
-use crate::dialect::Codec;
+use crate::changelog::Changelog;
+use crate::codec::Codec;
 use crate::metrics::Metrics;
-use crate::mirror::Changelog;
 
 mod backend;
-mod beliefs;
-mod figures;
+mod gauges;
 mod moves;
 mod peers;
-mod placing;
+mod placement;
 mod servers;
+mod view;
 
 pub use backend::Backend;
-use beliefs::Beliefs;
 pub use moves::{Ended, Sight};
-pub use placing::{Measure, Wanted};
+pub use placement::{Measure, Wanted};
+use view::Beliefs;
 
 /// Settings of the relay.
 #[derive(Clone, Debug)]
--- a/relay/src/state/backend.rs
+++ b/relay/src/state/backend.rs
@@ -12,8 +12,8 @@
 use crate::monitor::Monitor;
 
 use super::Settings;
-use super::beliefs::Group;
-use super::placing::{Measure, Wanted};
+use super::placement::{Measure, Wanted};
+use super::view::Group;
 
 /// A server, with what this entry knows of it.
 #[derive(Debug)]
--- a/relay/src/state/figures.rs
+++ b/relay/src/state/gauges.rs
@@ -2,7 +2,7 @@
 
 use medlarfall_runtime::logging;
 
-use crate::dialect::Codec;
+use crate::codec::Codec;
 use crate::metrics::Figures;
 
 use super::Relay;
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -7,9 +7,9 @@
 use medlarfall_coordination::evidence::{Observation, Side};
 use medlarfall_coordination::placement::name_hash;
 
-use crate::dialect::Codec;
+use crate::codec::Codec;
 
-use super::beliefs::Beliefs;
+use super::view::Beliefs;
 use super::{Backend, Relay};
 
 /// Steps between 0 and 1 in which entries round what a new version may get.
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -9,11 +9,11 @@
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
 
-use crate::dialect::Codec;
-use crate::exchange::Found;
+use crate::broadcast::Found;
+use crate::codec::Codec;
 
 use super::Relay;
-use super::beliefs::Peer;
+use super::view::Peer;
 
 /// Entries to tell.
 #[derive(Clone, Debug, Eq, PartialEq)]
--- a/relay/src/state/placing.rs
+++ b/relay/src/state/placement.rs
@@ -6,7 +6,7 @@
 use medlarfall_coordination::balance::{self, Candidate};
 use medlarfall_coordination::evidence::Side;
 
-use crate::dialect::Codec;
+use crate::codec::Codec;
 
 use super::{Backend, Relay};
 
--- a/relay/src/state/servers.rs
+++ b/relay/src/state/servers.rs
@@ -6,8 +6,8 @@
 
 use medlarfall_coordination::roster::{Effect, Server};
 
-use crate::dialect::Codec;
-use crate::exchange::Found;
+use crate::broadcast::Found;
+use crate::codec::Codec;
 
 use super::{Backend, Relay};
 
--- a/relay/src/state/beliefs.rs
+++ b/relay/src/state/view.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::exchange::Found;
+use crate::broadcast::Found;
 
 use super::{Backend, Settings};
 
--- a/relay/src/follow.rs
+++ b/relay/src/store_watch.rs
@@ -16,7 +16,7 @@
 use medlarfall_coordination::readers::retry_pause;
 use medlarfall_runtime::store::{Change, Changes, Error, Store};
 
-use crate::dialect::{Codec, Record};
+use crate::codec::{Codec, Record};
 use crate::state::Relay;
 
 /// Longest time that a watch waits for changes. A configuration has to be in force within 2 s of
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -13,22 +13,22 @@
 
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::{self, Answer, Failure};
-use crate::copy::Keeper;
-use crate::dialect::{Backup, Codec, Dispatch};
-use crate::intake::Job;
+use crate::backup::Keeper;
+use crate::codec::{Backup, Codec, Dispatch};
+use crate::ingress::Job;
 use crate::metrics::Open;
 use crate::monitor::{self, Subscription};
 use crate::prompt_cache;
 use crate::rediscover;
 use crate::state::{Backend, Measure, Relay, Sight, Wanted};
 
-use self::place::Place;
-use self::probe::Probe;
+use self::meter::Probe;
+use self::occupancy::Place;
 
-mod copies;
-mod passing;
-mod place;
-mod probe;
+mod backups;
+mod forwarding;
+mod meter;
+mod occupancy;
 
 /// Load, in runs, that a server in another failure domain counts for.
 const DISTANCE: f64 = 1.0;
--- a/relay/src/stream/copies.rs
+++ b/relay/src/stream/backups.rs
@@ -2,8 +2,8 @@
 
 use std::sync::Arc;
 
-use crate::copy;
-use crate::dialect::{Backup, Codec};
+use crate::backup;
+use crate::codec::{Backup, Codec};
 use crate::state::{Backend, Wanted};
 
 use super::Stream;
@@ -46,7 +46,7 @@
         }
         self.keeper = self.choose_backup(source).map(|holder| {
             let request_id = &self.job.original.request_id;
-            copy::keep(&self.relay, request_id, source, holder)
+            backup::keep(&self.relay, request_id, source, holder)
         });
     }
 
--- a/relay/src/stream/passing.rs
+++ b/relay/src/stream/forwarding.rs
@@ -12,7 +12,7 @@
 
 use crate::answer::{Content, Part, Reason, Refusal};
 use crate::attempt::Guard;
-use crate::dialect::Codec;
+use crate::codec::Codec;
 use crate::events::Splitter;
 use crate::state::Backend;
 
--- a/relay/src/stream/place.rs
+++ b/relay/src/stream/occupancy.rs
@@ -5,7 +5,7 @@
 
 use medlarfall_coordination::balance::Load;
 
-use crate::dialect::Codec;
+use crate::codec::Codec;
 use crate::state::{Backend, Relay};
 
 /// A stream's place at a server, counted until this is dropped.
--- a/relay/tests/mirror.rs
+++ b/relay/tests/changelog.rs
@@ -1,6 +1,6 @@
 //! What an entry tells another of the store.
 
-use medlarfall_relay::mirror::Changelog;
+use medlarfall_relay::changelog::Changelog;
 use medlarfall_runtime::store::Change;
 
 fn change(key: &str, value: Option<&str>, revision: u64) -> Change {
