--- a/relay/src/answer.rs
+++ b/relay/src/answer.rs
@@ -1,4 +1,4 @@
-//! Answers to callers, and the refusals of this system's own.
+//! Responses to callers: bodies, and the refusals that this entry itself makes.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,28 +11,28 @@
 
 use crate::codec::Codec;
 
-/// A body that broke off; the connection is closed without the body's end.
+/// Error of a truncated body. The connection is closed without the body's end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct BrokenOff;
+pub struct Truncated;
 
-impl std::fmt::Display for BrokenOff {
+impl std::fmt::Display for Truncated {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.write_str("the answer broke off")
+        formatter.write_str("response body truncated")
     }
 }
 
-impl std::error::Error for BrokenOff {}
+impl std::error::Error for Truncated {}
 
-/// Body of an answer.
+/// Body of a response.
 #[derive(Debug)]
 pub enum Content {
-    /// All of it is there.
+    /// The whole body, until it has been sent.
     Whole(Option<Bytes>),
-    /// Parts come as they are made; it is complete only when [`Part::End`] came.
+    /// Parts arrive as they are made. The body is complete only after [`Part::End`].
     Parts {
-        /// Where the parts come from.
+        /// Receives the parts.
         parts: mpsc::Receiver<Part>,
-        /// Length, where it is known before.
+        /// Length of the body, if known in advance.
         length: Option<u64>,
     },
 }
@@ -48,12 +48,12 @@
 
 impl Body for Content {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = Truncated;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match &mut *self {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Parts { parts, .. } => match parts.poll_recv(context) {
@@ -63,7 +63,7 @@
                     *self = Self::Whole(None);
                     Poll::Ready(None)
                 }
-                Poll::Ready(None) => Poll::Ready(Some(Err(BrokenOff))),
+                Poll::Ready(None) => Poll::Ready(Some(Err(Truncated))),
             },
         }
     }
@@ -88,43 +88,43 @@
     u64::try_from(bytes.len()).unwrap_or(u64::MAX)
 }
 
-/// Why a request got no server's answer.
+/// Why a request is answered by this entry instead of a server.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Reason {
-    /// The head can't be used.
+    /// The head is invalid.
     Malformed,
-    /// The key is unknown.
+    /// The API key is missing or unknown.
     UnknownKey,
-    /// No route fits.
+    /// No route matches.
     NoRoute,
     /// The body is too large.
     BodyTooLarge,
-    /// The body did not come whole.
+    /// The body was truncated.
     BodyBroken,
     /// No configuration is known yet.
     NoConfiguration,
     /// No server of the service can be reached.
     NoServer,
-    /// Every server is full.
+    /// Every server is at capacity.
     Full,
-    /// The prompt is larger than the memory of the service's engines.
+    /// The prompt exceeds the KV-cache capacity of the service's engines.
     PromptTooLarge,
-    /// The service has used up its budget of repeats.
+    /// The retry budget of the service is used up.
     RetryBudget,
-    /// A server that may have run the request was lost.
+    /// A server was lost that may have run the request.
     Lost,
-    /// The time ran out while a server was at work.
+    /// The deadline passed while a server was processing the request.
     TimedOut,
-    /// The time ran out before any server had the request.
+    /// The deadline passed before the request was sent to a server.
     TooLate,
-    /// This entry holds as much as its memory allows.
+    /// This entry has no memory left for the body.
     Memory,
-    /// This entry stops before the request could end; others take it.
+    /// This entry stops before the request could end; another entry can serve it.
     Stopping,
 }
 
 impl Reason {
-    /// Returns the status. 429 and 503 say that the request has not run.
+    /// Returns the HTTP status. 429 and 503 state that the request has not run.
     #[must_use]
     pub fn status(self) -> StatusCode {
         match self {
@@ -168,17 +168,17 @@
     }
 }
 
-/// A request that got no server's answer.
+/// A response to a request that no server answers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// When the caller may come back.
+    /// Pause before the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Returns a refusal after which coming back is of no use, or up to the caller.
+    /// Returns a refusal without a retry delay: a retry is of no use, or up to the caller.
     #[must_use]
     pub fn new(reason: Reason) -> Self {
         Self {
@@ -187,17 +187,17 @@
         }
     }
 
-    /// Returns a refusal of a request that may come back after `pause`.
+    /// Returns a refusal that allows a retry after `pause`.
     #[must_use]
-    pub fn come_back(reason: Reason, pause: Duration) -> Self {
+    pub fn with_retry(reason: Reason, pause: Duration) -> Self {
         Self {
             reason,
             retry_after: Some(pause),
         }
     }
 
-    /// Returns the answer to the caller.
-    pub fn response<D: Codec>(&self, dialect: &D, request_id: Option<&str>) -> Response<Content> {
+    /// Returns the response to the caller.
+    pub fn response<C: Codec>(&self, dialect: &C, request_id: Option<&str>) -> Response<Content> {
         let text = format!("{{\"error\":\"{}\"}}\n", self.reason.name());
         let mut response = Response::new(Content::Whole(Some(Bytes::from(text))));
         *response.status_mut() = self.reason.status();
--- a/relay/src/attempt.rs
+++ b/relay/src/attempt.rs
@@ -1,7 +1,8 @@
-//! One send of a request to one server, on a connection of its own.
+//! One attempt: sends a request to one server, on a new connection.
 //!
-//! A new connection is surely alive, carries no late answer of an earlier request, and costs a
-//! millisecond. It is closed as soon as the attempt is dropped, which makes the server stop.
+//! A new connection is known to be alive, carries no late response to an earlier request, and costs
+//! about a millisecond. It is closed as soon as the attempt is dropped, which makes the server stop
+//! the run.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,49 +24,49 @@
 use crate::codec::{Codec, Command, Dispatch, Reply, Report};
 use crate::state::{Backend, Relay};
 
-/// Longest time to connect. A connection within a region takes a few milliseconds; where the
-/// first packet is lost, another connection is sooner than the next try of this one, after 1 s.
-const CONNECT_TIME: Duration = Duration::from_millis(150);
+/// Longest time to connect. A connection within a region takes a few milliseconds. If the first
+/// packet is lost, a new connection is faster than TCP's retransmission after 1 s.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Largest report of a server on itself, in bytes.
+/// Largest status report of a server, or response of a peer, in bytes.
 const REPORT_LIMIT: usize = 256 << 10;
 
-/// Largest buffer for an answer's head or part, in bytes.
+/// Largest read buffer of a connection, in bytes.
 const READ_BUFFER: usize = 64 << 10;
 
-/// Why an attempt got no answer.
+/// Why an attempt got no response.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Failure {
-    /// Nothing was sent.
+    /// The connection failed; nothing was sent.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The server says that it did not run the request.
+    /// The server states that it did not run the request.
     #[snafu(display("not run: status {status}"))]
     NotRun {
-        /// Status of the server's answer.
+        /// Status of the server's response.
         status: u16,
-        /// When the request may come back.
+        /// Pause before a retry, if the server states one.
         retry_after: Option<Duration>,
     },
-    /// The request may have run.
+    /// The response was lost or is invalid; the request may have run.
     #[snafu(display("lost: {reason}"))]
     Lost {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
 }
 
-/// Ends the connection and the count of the request when it is dropped.
+/// Closes the connection and ends the count of the request when dropped.
 #[derive(Debug)]
 pub struct Guard {
     backend: Arc<Backend>,
     _connection: Connection,
 }
 
-/// A connection that ends when this is dropped.
+/// A connection that is closed when this is dropped.
 #[derive(Debug)]
 struct Connection(AbortHandle);
 
@@ -82,18 +83,18 @@
     }
 }
 
-/// An answer whose body is still to be read.
+/// A response whose body has not been read.
 #[derive(Debug)]
 pub struct Answer {
-    /// Head and body.
+    /// The response.
     pub response: Response<Incoming>,
-    /// What the head says.
+    /// Its decoded head.
     pub reply: Reply,
-    /// Keeps the connection.
+    /// Keeps the connection open.
     pub guard: Guard,
 }
 
-/// The caller's request as it is sent on.
+/// The caller's request as it is forwarded.
 #[derive(Clone, Debug)]
 pub struct Original {
     /// Identifier.
@@ -102,16 +103,16 @@
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers as the caller sent them.
+    /// Headers of the caller.
     pub headers: HeaderMap,
     /// Body.
     pub body: Bytes,
 }
 
-/// Connects to a server.
+/// Connects to a server within [`CONNECT_TIMEOUT`].
 async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let connecting = TcpStream::connect(address);
-    let stream = tokio::time::timeout(CONNECT_TIME, connecting)
+    let stream = tokio::time::timeout(CONNECT_TIMEOUT, connecting)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
@@ -120,7 +121,7 @@
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Opens a connection.
+/// Opens an HTTP connection.
 async fn open(address: SocketAddr) -> Result<(Sender, Connection), String> {
     let stream = connect(address).await.map_err(|error| error.to_string())?;
     let (sender, connection) = http1::Builder::new()
@@ -130,7 +131,7 @@
         .map_err(|error| error.to_string())?;
     let task = tokio::spawn(async move {
         if let Err(error) = connection.await {
-            log::debug!(reason = error.to_string().as_str(); "connection to a server ended");
+            log::debug!(reason = error.to_string().as_str(); "connection to a server ended with an error");
         }
     });
     Ok((sender, Connection(task.abort_handle())))
@@ -140,12 +141,12 @@
 ///
 /// # Errors
 ///
-/// Returns whether the request may have run.
-pub async fn send<D: Codec>(
-    relay: &Relay<D>,
+/// Returns the failure, which states whether the request may have run.
+pub async fn send<C: Codec>(
+    relay: &Relay<C>,
     backend: &Arc<Backend>,
     original: &Original,
-    send: &Dispatch,
+    dispatch: &Dispatch,
 ) -> Result<Answer, Failure> {
     let opened = open(backend.server.address).await;
     let (mut sender, connection) = opened.map_err(|reason| {
@@ -160,7 +161,7 @@
     let mut request = Request::new(Full::new(original.body.clone()));
     *request.method_mut() = original.method.clone();
     *request.uri_mut() = original.uri.clone();
-    *request.headers_mut() = relay.codec.request_headers(&original.headers, send);
+    *request.headers_mut() = relay.codec.request_headers(&original.headers, dispatch);
     let response = sender.send_request(request).await.map_err(|error| {
         let now = relay.clock.now();
         backend.load(|load| load.outcome(true, now));
@@ -176,7 +177,7 @@
     if reply.not_run {
         let status = parts.status.as_u16();
         match status {
-            // Another server has the address now.
+            // Misdirected: another server has the address now.
             421 => relay.record_unreachable(backend),
             _ => backend.load(|load| load.outcome(true, now)),
         }
@@ -188,11 +189,12 @@
     if !reply.matches || (parts.status.is_success() && !reply.signed) {
         backend.load(|load| load.outcome(true, now));
         return Err(Failure::Lost {
-            reason: "the answer is to another request, or of no server".to_owned(),
+            reason: "response carries another request's identifier or no server signature"
+                .to_owned(),
         });
     }
     backend.load(|load| load.outcome(parts.status.is_server_error(), now));
-    relay.answered(backend);
+    relay.record_response(backend);
     Ok(Answer {
         response: Response::from_parts(parts, body),
         reply,
@@ -200,18 +202,18 @@
     })
 }
 
-/// Makes a call to a server that is no caller's request, and returns the whole answer.
+/// Sends a control request to a server or a peer, and returns the whole response.
 ///
 /// # Errors
 ///
-/// Returns why there is none.
-pub async fn exchange(address: SocketAddr, order: Command) -> Result<(Parts, Bytes), String> {
+/// Returns why there is no valid response.
+pub async fn fetch(address: SocketAddr, command: Command) -> Result<(Parts, Bytes), String> {
     let (mut sender, connection) = open(address).await?;
     let request = Request::builder()
-        .method(order.method)
-        .uri(order.path)
+        .method(command.method)
+        .uri(command.path)
         .header(HOST, address.to_string())
-        .body(Full::new(order.body))
+        .body(Full::new(command.body))
         .map_err(|error| error.to_string())?;
     let response = sender.send_request(request).await;
     let (parts, body) = response.map_err(|error| error.to_string())?.into_parts();
@@ -229,26 +231,32 @@
     }
 }
 
-/// Asks a server for its report on itself.
+/// Fetches a server's status report.
 ///
 /// # Errors
 ///
-/// Returns why there is none.
-pub async fn report<D: Codec>(relay: &Relay<D>, address: SocketAddr) -> Result<Report, String> {
-    relay.metrics.questions.inc();
-    let (parts, body) = exchange(address, get(relay.codec.report_path())).await?;
+/// Returns why there is no valid response.
+pub async fn fetch_report<C: Codec>(
+    relay: &Relay<C>,
+    address: SocketAddr,
+) -> Result<Report, String> {
+    relay.metrics.probes.inc();
+    let (parts, body) = fetch(address, get(relay.codec.report_path())).await?;
     let report = relay.codec.decode_report(parts.status, &body);
-    report.ok_or_else(|| format!("status {} without a report", parts.status))
+    report.ok_or_else(|| format!("status {} without a valid report", parts.status))
 }
 
-/// Asks the server at an address for its name.
+/// Fetches the name of the server at an address.
 ///
 /// # Errors
 ///
-/// Returns why there is none.
-pub async fn name<D: Codec>(relay: &Relay<D>, address: SocketAddr) -> Result<Arc<str>, String> {
-    relay.metrics.questions.inc();
-    let (parts, _) = exchange(address, get(relay.codec.health_path())).await?;
+/// Returns why there is no valid response.
+pub async fn fetch_name<C: Codec>(
+    relay: &Relay<C>,
+    address: SocketAddr,
+) -> Result<Arc<str>, String> {
+    relay.metrics.probes.inc();
+    let (parts, _) = fetch(address, get(relay.codec.health_path())).await?;
     let name = relay.codec.decode_health(&parts);
     name.ok_or_else(|| format!("status {}", parts.status))
 }
--- a/relay/src/backup.rs
+++ b/relay/src/backup.rs
@@ -1,4 +1,4 @@
-//! Keeps a copy of a run's memory on another server, in place of a backup that was lost.
+//! Maintains a backup of a run's KV cache on another server, to replace one that was lost.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,32 +11,32 @@
 use crate::codec::{Backup, Codec};
 use crate::state::{Backend, Relay};
 
-/// Time between orders to bring a copy up to date. A server frees a copy that is 4 s old.
-const REFRESH: Duration = Duration::from_millis(2_500);
+/// Time between refreshes of a backup. A server frees a backup that is 4 s old.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(2_500);
 
-/// Longest wait for a copy to be made: a long prompt takes some tens of milliseconds.
-const COPY_TIME: Duration = Duration::from_secs(1);
+/// Longest wait for a copy command: a long prompt takes some tens of milliseconds.
+const COPY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A copy that is kept up to date until this is dropped.
+/// A backup that is refreshed until this is dropped.
 #[derive(Debug)]
-pub struct Keeper {
-    /// Server that holds the copy.
+pub struct Replacement {
+    /// Server that holds the backup.
     pub holder: Arc<Backend>,
     source: SocketAddr,
     handle: watch::Receiver<Option<Arc<str>>>,
     task: AbortHandle,
 }
 
-impl Drop for Keeper {
+impl Drop for Replacement {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl Keeper {
-    /// Returns the copy, once it is made.
+impl Replacement {
+    /// Returns the backup, once it is made.
     #[must_use]
-    pub fn copy(&self) -> Option<Backup> {
+    pub fn backup(&self) -> Option<Backup> {
         let handle = self.handle.borrow().clone()?;
         Some(Backup {
             holder: self.source,
@@ -44,29 +44,30 @@
         })
     }
 
-    /// Frees the copy at both servers.
-    pub fn free<D: Codec>(self, relay: &Arc<Relay<D>>) {
+    /// Frees the backup at both servers.
+    pub fn free<C: Codec>(self, relay: &Arc<Relay<C>>) {
         let Some(handle) = self.handle.borrow().clone() else {
             return;
         };
-        let order = relay.codec.free_command(&handle);
+        let command = relay.codec.free_command(&handle);
         let source = self.source;
         tokio::spawn(async move {
-            let freed = tokio::time::timeout(COPY_TIME, attempt::exchange(source, order)).await;
+            let freed = tokio::time::timeout(COPY_TIMEOUT, attempt::fetch(source, command)).await;
             if !matches!(freed, Ok(Ok(_))) {
-                log::info!(copy = &*handle; "copy not freed; it ends by its age");
+                log::info!(copy = &*handle; "backup not freed; it expires on the server");
             }
         });
     }
 }
 
-/// Copies the memory of the run `request_id` at `source` to `holder`, again and again.
-pub fn keep<D: Codec>(
-    relay: &Arc<Relay<D>>,
+/// Copies the KV cache of the run `request_id` from `source` to `holder` every
+/// [`REFRESH_INTERVAL`].
+pub fn maintain<C: Codec>(
+    relay: &Arc<Relay<C>>,
     request_id: &Arc<str>,
     source: &Arc<Backend>,
     holder: Arc<Backend>,
-) -> Keeper {
+) -> Replacement {
     let (sender, handle) = watch::channel(None);
     let source = source.server.address;
     let target = holder.server.address;
@@ -74,8 +75,8 @@
     let request_id = Arc::clone(request_id);
     let task = tokio::spawn(async move {
         loop {
-            let order = relay.codec.copy_command(&request_id, target);
-            let made = tokio::time::timeout(COPY_TIME, attempt::exchange(source, order)).await;
+            let command = relay.codec.copy_command(&request_id, target);
+            let made = tokio::time::timeout(COPY_TIMEOUT, attempt::fetch(source, command)).await;
             let made = match made {
                 Ok(Ok((parts, body))) => relay.codec.decode_copy(parts.status, &body),
                 _ => None,
@@ -83,13 +84,13 @@
             log::info!(
                 request = &*request_id, source = source.to_string().as_str(),
                 target = target.to_string().as_str(), made = made.is_some();
-                "copy of a run in place of a lost backup"
+                "refresh of a replacement backup"
             );
             sender.send_replace(made);
-            tokio::time::sleep(REFRESH).await;
+            tokio::time::sleep(REFRESH_INTERVAL).await;
         }
     });
-    Keeper {
+    Replacement {
         holder,
         source,
         handle,
--- a/relay/src/broadcast.rs
+++ b/relay/src/broadcast.rs
@@ -1,7 +1,9 @@
-//! Tells the other entries how many streams this one has at each server, and hears it from them.
+//! Shares this entry's state with the other entries: its streams at each server, changes of the
+//! store, lost servers, retries and moves.
 //!
-//! Messages are datagrams on a port of the entries' own; each holds all that its sender has. An
-//! entry makes its address known through the store, under a lease.
+//! Messages are datagrams on a port used only by entries. Each carries current values instead of
+//! differences, so a lost one needs no retransmission; an entry that misses changes of the store
+//! fetches them from the sender. An entry registers its address in the store under a lease.
 
 use std::collections::HashMap;
 use std::io;
@@ -26,123 +28,129 @@
 use crate::state::Relay;
 use crate::store_watch;
 
-/// Shortest time between two messages: several changes go into one.
-const SHORTEST: Duration = Duration::from_millis(10);
+/// Shortest time between two messages, so that one message carries several changes.
+const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Longest time between two messages to all, so that a lost one does no lasting harm. Most of a
-/// large fleet's traffic between failure domains is these.
-const LONGEST: Duration = Duration::from_secs(2);
+/// Longest time between two messages to all entries, so that a lost message does no lasting harm.
+/// These are most of a large fleet's traffic between failure domains.
+const MAX_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Longest time until all know of a repeat: a service's repeats are bounded over all entries.
-const REPEATS_TOLD: Duration = Duration::from_millis(250);
+/// Longest time until a retry is sent to all entries: a service's retries are bounded across the
+/// fleet.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Largest message.
+/// Size of the receive buffer, in bytes.
 const MESSAGE_LIMIT: usize = 60_000;
 
-/// Most bytes of changes in a message; who misses more asks for them.
-const NEWS_LIMIT: usize = 30_000;
+/// Most bytes of changes in a message. An entry that misses more fetches them from the sender.
+const UPDATES_LIMIT: usize = 30_000;
 
-/// Time after which the store forgets an entry that does not renew its lease.
+/// Lease of an entry's address; it expires if the entry does not renew it.
 const LEASE_TIME: Duration = Duration::from_secs(20);
 
 /// Time between renewals: three fit into a lease.
-const RENEWAL: Duration = Duration::from_secs(6);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(6);
 
-/// Pause after a call to the store that failed.
+/// Pause after a failed store call.
 const RETRY_PAUSE: Duration = Duration::from_secs(3);
 
-/// Longest wait for the store.
-const ANSWER_TIME: Duration = Duration::from_secs(1);
+/// Longest wait for a response of the store.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What an entry tells: its name and, for each server, its streams and those still unread.
+/// A message of an entry: its state and, for each server, the number of its streams and of those in
+/// prefill.
 #[derive(Debug, Deserialize, Serialize)]
 struct Message {
     entry: Arc<str>,
     failure_domain: Arc<str>,
-    /// Speed of its machine's link, in Mbit/s.
+    /// Capacity of its machine's link, in Mbit/s.
     link_mbps: u32,
     /// Whether the entry reads the store with success.
-    reads: bool,
-    /// Changes that a reader read since its last message.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    news: Option<News>,
-    /// How far the entry has read in the store.
+    #[serde(rename = "reads")]
+    reads_store: bool,
+    /// Changes that the sender read in the store since its last message.
+    #[serde(default, rename = "news", skip_serializing_if = "Option::is_none")]
+    updates: Option<Updates>,
+    /// Revision of the store up to which the sender knows all changes.
     revision: u64,
     streams: Vec<(Arc<str>, u32, u32)>,
-    /// Servers that it could not reach lately.
+    /// Servers that it could not reach recently.
     #[serde(default)]
     lost: Vec<Arc<str>>,
-    /// Servers that it found in place of others while the store was away.
-    #[serde(default)]
-    found: Vec<Found>,
-    /// Requests and repeats over the last span, by service.
-    #[serde(default)]
-    repeats: Vec<(Arc<str>, Usage)>,
-    /// What it knows of the moves of services that are under way.
+    /// Successors of lost servers, found while the store was unavailable.
+    #[serde(default, rename = "found")]
+    successors: Vec<Successor>,
+    /// Requests and retries over the last span, by service.
+    #[serde(default, rename = "repeats")]
+    retries: Vec<(Arc<str>, Usage)>,
+    /// Reports on the moves in progress.
     #[serde(default)]
     moves: Vec<(Arc<str>, canary::Report)>,
 }
 
 /// Changes in the store after a revision.
 #[derive(Debug, Deserialize, Serialize)]
-struct News {
+struct Updates {
     after: u64,
     changes: Changes,
 }
 
-/// A server that was found at the address of another.
+/// A server that was found at the address of a lost one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct Found {
-    /// Name of the server that was there before.
-    pub before: Arc<str>,
+pub struct Successor {
+    /// Name of the lost server.
+    #[serde(rename = "before")]
+    pub predecessor: Arc<str>,
     /// Name of the server that is there now.
-    pub now: Arc<str>,
-    /// When it started, in Unix milliseconds.
-    pub born_ms: Option<u64>,
+    #[serde(rename = "now")]
+    pub id: Arc<str>,
+    /// Its start time, in Unix milliseconds.
+    #[serde(rename = "born_ms")]
+    pub started_ms: Option<u64>,
 }
 
-/// Sends and receives messages for ever.
-pub async fn run<D: Codec>(relay: Arc<Relay<D>>, socket: UdpSocket) {
+/// Sends and receives messages until the task is aborted.
+pub async fn run<C: Codec>(relay: Arc<Relay<C>>, socket: UdpSocket) {
     let socket = Arc::new(socket);
-    tokio::spawn(tell(Arc::clone(&relay), Arc::clone(&socket)));
+    tokio::spawn(send_state(Arc::clone(&relay), Arc::clone(&socket)));
     let mut buffer = vec![0; MESSAGE_LIMIT];
     loop {
         match socket.recv_from(&mut buffer).await {
-            Ok((length, from)) => hear(&relay, &buffer[..length], from),
+            Ok((length, from)) => receive(&relay, &buffer[..length], from),
             Err(error) => {
                 log::debug!(reason = error.to_string().as_str(); "message not received");
-                sleep(SHORTEST).await;
+                sleep(MIN_INTERVAL).await;
             }
         }
     }
 }
 
-/// Takes in a message.
-fn hear<D: Codec>(relay: &Arc<Relay<D>>, bytes: &[u8], from: SocketAddr) {
-    let message: Message = match encoding::unpack(bytes) {
+/// Applies a received message.
+fn receive<C: Codec>(relay: &Arc<Relay<C>>, bytes: &[u8], from: SocketAddr) {
+    let message: Message = match encoding::decode(bytes) {
         Ok(message) => message,
         Err(error) => {
             log::warn!(
                 from = from.to_string().as_str(), reason = error.to_string().as_str();
-                "message of another entry can't be read"
+                    "message of a peer not decoded"
             );
             return;
         }
     };
-    relay.peer(&message.entry, Some(from));
+    relay.record_peer(&message.entry, Some(from));
     let Message {
         entry,
         failure_domain,
         link_mbps,
-        reads,
+        reads_store,
         ..
     } = &message;
-    relay.peer_reads(entry, failure_domain, *link_mbps, *reads);
-    if let Some(News { after, changes }) = message.news {
-        store_watch::take_news(relay, after, &changes);
+    relay.record_peer_reader(entry, failure_domain, *link_mbps, *reads_store);
+    if let Some(Updates { after, changes }) = message.updates {
+        store_watch::apply_updates(relay, after, &changes);
     }
-    let behind = message.revision > relay.changelog(|mirror| mirror.revision());
-    if message.reads && !behind {
+    let behind = message.revision > relay.changelog(|changelog| changelog.revision());
+    if message.reads_store && !behind {
         relay.servers_known();
     }
     if behind && !relay.begin_catching_up() {
@@ -152,69 +160,71 @@
             relay.end_catching_up();
         });
     }
-    relay.peer_lost(&message.lost);
-    relay.peer_found(&message.found);
-    relay.peer_repeated(&message.entry, &message.repeats);
-    relay.hear_moves(&message.entry, message.moves);
+    relay.record_peer_unreachable(&message.lost);
+    relay.record_peer_successors(&message.successors);
+    relay.record_peer_retries(&message.entry, &message.retries);
+    relay.receive_move_reports(&message.entry, message.moves);
     let counts: HashMap<Arc<str>, Count> = message
         .streams
         .into_iter()
         .map(|(server, runs, reading)| (server, Count { runs, reading }))
         .collect();
-    relay.peer_told(message.entry, counts);
+    relay.record_peer_streams(message.entry, counts);
 }
 
-/// Returns what was read since `told`, if this entry reads and it is not too much for a message.
-fn news<D: Codec>(relay: &Relay<D>, told: u64) -> Option<News> {
-    if told == 0 || !relay.reads.load(Ordering::Relaxed) {
+/// Returns the changes since the revision `sent`, if this entry reads the store and they fit into a
+/// message.
+fn updates<C: Codec>(relay: &Relay<C>, sent_revision: u64) -> Option<Updates> {
+    if sent_revision == 0 || !relay.reads_store.load(Ordering::Relaxed) {
         return None;
     }
-    let changes = relay.changelog(|mirror| mirror.changes_since(told));
+    let changes = relay.changelog(|changelog| changelog.changes_since(sent_revision));
     let length = |change: &Change| change.key.len() + change.value.as_ref().map_or(0, String::len);
     let bytes: usize = changes.changes.iter().map(length).sum();
-    let fits = changes.revision > told && bytes <= NEWS_LIMIT;
-    fits.then_some(News {
-        after: told,
+    let fits = changes.revision > sent_revision && bytes <= UPDATES_LIMIT;
+    fits.then_some(Updates {
+        after: sent_revision,
         changes,
     })
 }
 
-/// Sends what this entry has: to those of its own failure domain at each change, to all now and
-/// then, and at once when it read something new in the store.
-async fn tell<D: Codec>(relay: Arc<Relay<D>>, socket: Arc<UdpSocket>) {
-    let mut told_all = Instant::now();
-    let mut told = 0;
+/// Sends this entry's state: at each change to the peers in its failure domain, and periodically or
+/// as soon as it has read a change in the store to all.
+async fn send_state<C: Codec>(relay: Arc<Relay<C>>, socket: Arc<UdpSocket>) {
+    let mut all_sent_at = Instant::now();
+    let mut sent_revision = 0;
     loop {
-        let reads = relay.reads.load(Ordering::Relaxed);
-        let moving = relay.moving();
-        let longest = match (relay.has_repeated(), reads || moving) {
-            (true, _) => REPEATS_TOLD,
+        let reads = relay.reads_store.load(Ordering::Relaxed);
+        let has_open_moves = relay.has_open_moves();
+        let longest = match (relay.has_unsent_retries(), reads || has_open_moves) {
+            (true, _) => RETRY_INTERVAL,
             (false, true) => READER_TELLS,
-            (false, false) => LONGEST,
+            (false, false) => MAX_INTERVAL,
         };
         tokio::select! {
             () = relay.streams_changed.notified() => {}
-            () = tokio::time::sleep_until(told_all + longest) => {}
+            () = tokio::time::sleep_until(all_sent_at + longest) => {}
         }
-        let news = news(&relay, told);
-        let everyone = news.is_some() || relay.has_found() || told_all.elapsed() >= longest;
-        let revision = relay.changelog(|mirror| mirror.revision());
+        let updates = updates(&relay, sent_revision);
+        let everyone =
+            updates.is_some() || relay.has_unsent_successors() || all_sent_at.elapsed() >= longest;
+        let revision = relay.changelog(|changelog| changelog.revision());
         if everyone {
-            told_all = Instant::now();
-            told = revision;
+            all_sent_at = Instant::now();
+            sent_revision = revision;
         }
         let message = Message {
             entry: Arc::clone(&relay.settings.entry),
             failure_domain: Arc::clone(&relay.settings.failure_domain),
             link_mbps: relay.settings.link_mbps,
-            reads,
-            news,
+            reads_store: reads,
+            updates,
             revision,
             streams: relay.own_streams(),
-            lost: relay.lost_to_tell(everyone),
-            found: relay.found_to_tell(everyone),
-            repeats: if everyone {
-                relay.repeats_to_tell()
+            lost: relay.unreachable_to_send(everyone),
+            successors: relay.successors_to_send(everyone),
+            retries: if everyone {
+                relay.take_retry_usage()
             } else {
                 Vec::new()
             },
@@ -224,21 +234,25 @@
                 Vec::new()
             },
         };
-        let bytes = match encoding::pack(&message) {
+        let bytes = match encoding::encode(&message) {
             Ok(bytes) => bytes,
             Err(error) => {
-                log::error!(reason = error.to_string().as_str(); "message can't be written");
+                log::error!(reason = error.to_string().as_str(); "message to peers not encoded");
                 continue;
             }
         };
-        let audience = relay.audience(everyone);
-        for peer in &audience.addresses {
+        let recipients = relay.recipients(everyone);
+        for peer in &recipients.addresses {
             if let Err(error) = send(&socket, &bytes, *peer).await {
                 log::debug!(reason = error.to_string().as_str(); "message not sent");
             }
         }
-        let pause = tidings::pause(bytes.len(), audience.addresses.len(), audience.link_mbps);
-        sleep(pause.max(SHORTEST)).await;
+        let pause = tidings::pause(
+            bytes.len(),
+            recipients.addresses.len(),
+            recipients.link_mbps,
+        );
+        sleep(pause.max(MIN_INTERVAL)).await;
     }
 }
 
@@ -246,23 +260,23 @@
     socket.send_to(bytes, peer).await.map(|_| ())
 }
 
-/// Keeps this entry's address in the store.
-pub async fn register<D: Codec, S: Store>(relay: Arc<Relay<D>>, store: S, address: SocketAddr) {
+/// Keeps this entry's address registered in the store.
+pub async fn register<C: Codec, S: Store>(relay: Arc<Relay<C>>, store: S, address: SocketAddr) {
     let mut lease = None;
     loop {
         relay.metrics.store_calls.inc();
-        let step = timeout(ANSWER_TIME, renew(&relay, &store, address, lease)).await;
+        let step = timeout(RESPONSE_TIMEOUT, renew(&relay, &store, address, lease)).await;
         let pause = match step {
             Ok(Ok(renewed)) => {
                 lease = Some(renewed);
-                RENEWAL
+                RENEWAL_INTERVAL
             }
             Ok(Err(Error::LeaseEnded)) => {
                 lease = None;
                 RETRY_PAUSE
             }
             Ok(Err(error)) => {
-                log::info!(reason = error.to_string().as_str(); "this entry's address not renewed");
+                log::info!(reason = error.to_string().as_str(); "registration of this entry's address not renewed");
                 RETRY_PAUSE
             }
             Err(_) => RETRY_PAUSE,
@@ -271,9 +285,9 @@
     }
 }
 
-/// Renews the lease, or writes the address under a new one.
-async fn renew<D: Codec, S: Store>(
-    relay: &Relay<D>,
+/// Renews the lease, or registers the address under a new one.
+async fn renew<C: Codec, S: Store>(
+    relay: &Relay<C>,
     store: &S,
     address: SocketAddr,
     lease: Option<Lease>,
--- a/relay/src/call.rs
+++ b/relay/src/call.rs
@@ -1,4 +1,4 @@
-//! Answers calls: requests whose answer is one whole response.
+//! Handles calls: requests that a server answers with one whole response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,59 +15,59 @@
 use crate::attempt::{self, Answer, Failure};
 use crate::codec::{Codec, Dispatch};
 use crate::ingress::{Job, SHORT_WAIT};
-use crate::state::{Backend, Measure, Relay, Sight, Wanted};
+use crate::state::{Backend, Criteria, Measure, Measurement, Relay};
 
-/// Largest answer that is read whole before the caller gets its first byte, so that one that
-/// breaks off can be repeated or turned into an error.
-const WHOLE_LIMIT: usize = 256 << 10;
+/// Largest response that is buffered before the caller gets its first byte. A buffered response
+/// that is truncated can be retried or turned into an error.
+const BUFFER_LIMIT: usize = 256 << 10;
 
-/// Parts of a larger answer that wait for a slow caller.
-const PARTS_WAITING: usize = 8;
+/// Parts of a larger response that are queued for a slow caller.
+const PART_QUEUE: usize = 8;
 
-/// Load that a server in another failure domain counts for: calls are short, so a free slot
-/// elsewhere is worth the way.
-const DISTANCE: f64 = 0.5;
+/// Load that is added to servers in another failure domain. Calls are short, so a free slot
+/// elsewhere is worth the extra latency.
+const REMOTE_PENALTY: f64 = 0.5;
 
-/// About how long a call lasts.
+/// Usual duration of a call, over which the weight of server reports decays.
 const HORIZON: Duration = Duration::from_millis(100);
 
-/// Sends that reached no server, or that servers refused, until a request is refused.
-const REFUSALS: u32 = 4;
+/// Attempts that reached no server or were refused by one, after which the request is refused.
+const REFUSAL_LIMIT: u32 = 4;
 
-/// When a request may come back that found all servers full: some calls' time.
+/// Retry delay when all servers are at capacity: the duration of a few calls.
 const FULL_PAUSE: Duration = Duration::from_millis(100);
 
-/// When a request may come back that found no server: a failure is known by then.
+/// Retry delay when no server is known: a failure is detected within this time.
 const NO_SERVER_PAUSE: Duration = Duration::from_millis(250);
 
-/// What a server answered, in whole or as far as it has come.
-struct Taken {
+/// A server's response, whole or with a body that still arrives.
+struct Received {
     status: StatusCode,
     headers: HeaderMap,
     content: Content,
 }
 
-/// What is known of a request's sends so far.
+/// Progress of a request over its attempts.
 #[derive(Debug, Default)]
-struct Course {
+struct Progress {
     tried: Vec<Arc<str>>,
     ran: u32,
     refusals: u32,
     arrivals: u32,
-    paid: u32,
-    offered: bool,
+    retries_withdrawn: u32,
+    in_flight: bool,
     full: bool,
 }
 
-/// Answers a call.
-pub async fn answer<D: Codec>(relay: &Arc<Relay<D>>, job: Job) -> Response<Content> {
+/// Handles a call.
+pub async fn answer<C: Codec>(relay: &Arc<Relay<C>>, job: Job) -> Response<Content> {
     let _open = relay.metrics.open("call");
-    let mut course = Course::default();
+    let mut progress = Progress::default();
     let deadline = relay.clock.instant(job.deadline);
-    let outcome = tokio::time::timeout_at(deadline, run(relay, &job, &mut course)).await;
-    let outcome = outcome.unwrap_or_else(|_| Err(Refusal::new(late(&course))));
+    let outcome = tokio::time::timeout_at(deadline, run(relay, &job, &mut progress)).await;
+    let outcome = outcome.unwrap_or_else(|_| Err(Refusal::new(timeout_reason(&progress))));
     let (status, reason) = match &outcome {
-        Ok(taken) => (taken.status, "answered"),
+        Ok(received) => (received.status, "answered"),
         Err(refusal) => (refusal.reason.status(), refusal.reason.name()),
     };
     let route = &*job.route.name;
@@ -82,123 +82,124 @@
         request = &*job.original.request_id, route, status = status.as_u16(), reason, late,
         account = job.account.as_ref().map_or("", |account| &*account.name),
         configuration = job.table.version, ms = took.as_millis(),
-        servers = course.tried.join(",").as_str(), ran = course.ran;
+        servers = progress.tried.join(",").as_str(), ran = progress.ran;
         "call ended"
     );
     match outcome {
-        Ok(taken) => {
-            let mut response = Response::new(taken.content);
-            *response.status_mut() = taken.status;
-            *response.headers_mut() = taken.headers;
+        Ok(received) => {
+            let mut response = Response::new(received.content);
+            *response.status_mut() = received.status;
+            *response.headers_mut() = received.headers;
             response
         }
         Err(refusal) => refusal.response(&relay.codec, Some(&job.original.request_id)),
     }
 }
 
-fn late(course: &Course) -> Reason {
-    if course.offered {
+fn timeout_reason(progress: &Progress) -> Reason {
+    if progress.in_flight {
         Reason::TimedOut
     } else {
         Reason::TooLate
     }
 }
 
-/// Sends a call to one server after another, as far as its kind and the budgets allow.
-async fn run<D: Codec>(
-    relay: &Arc<Relay<D>>,
+/// Sends a call to one server after another, as far as the route's kind and the retry budget allow.
+async fn run<C: Codec>(
+    relay: &Arc<Relay<C>>,
     job: &Job,
-    course: &mut Course,
-) -> Result<Taken, Refusal> {
-    let mut failed: Option<Taken> = None;
+    progress: &mut Progress,
+) -> Result<Received, Refusal> {
+    let mut failed: Option<Received> = None;
     loop {
-        let Some(backend) = next(relay, job, course).await else {
-            return failed.ok_or_else(|| refusal(course));
+        let Some(backend) = next(relay, job, progress).await else {
+            return failed.ok_or_else(|| refusal(progress));
         };
-        let repeat = course.arrivals > course.paid;
-        if repeat && !relay.take_retry(&job.service) {
-            let refused = match course.ran {
-                0 => Refusal::come_back(Reason::RetryBudget, FULL_PAUSE),
+        let is_retry = progress.arrivals > progress.retries_withdrawn;
+        if is_retry && !relay.take_retry(&job.service) {
+            let refused = match progress.ran {
+                0 => Refusal::with_retry(Reason::RetryBudget, FULL_PAUSE),
                 _ => Refusal::new(Reason::Lost),
             };
             return failed.ok_or(refused);
         }
-        course.paid = course.arrivals;
-        course.tried.push(Arc::clone(&backend.server.id));
-        course.offered = true;
-        let send = send(relay, job, &backend);
+        progress.retries_withdrawn = progress.arrivals;
+        progress.tried.push(Arc::clone(&backend.server.id));
+        progress.in_flight = true;
+        let dispatch = dispatch(relay, job, &backend);
         let sent_at = relay.clock.now();
-        let taken = match attempt::send(relay, &backend, &job.original, &send).await {
+        let received = match attempt::send(relay, &backend, &job.original, &dispatch).await {
             Ok(answer) => read_response(relay, &backend, answer).await,
             Err(failure) => Err(failure),
         };
-        saw(relay, job, &backend, &taken, sent_at);
-        match taken {
-            Ok(taken) if !taken.status.is_server_error() => return Ok(taken),
-            Ok(taken) => {
-                course.ran(&mut failed, Some(taken));
+        record_attempt(relay, job, &backend, &received, sent_at);
+        match received {
+            Ok(received) if !received.status.is_server_error() => return Ok(received),
+            Ok(received) => {
+                progress.ran(&mut failed, Some(received));
             }
             Err(Failure::NotSent { reason }) => {
-                course.offered = course.arrivals > 0;
-                course.refusals += 1;
-                note(job, &backend, "not_sent", &reason);
+                progress.in_flight = progress.arrivals > 0;
+                progress.refusals += 1;
+                log_failure(job, &backend, "not_sent", &reason);
             }
             Err(Failure::NotRun { status, .. }) => {
-                course.offered = course.ran > 0;
-                course.arrivals += 1;
-                course.refusals += 1;
-                course.full |= status != 421;
-                note(job, &backend, "not_run", "the server refused it");
+                progress.in_flight = progress.ran > 0;
+                progress.arrivals += 1;
+                progress.refusals += 1;
+                progress.full |= status != 421;
+                log_failure(job, &backend, "not_run", "refused by the server");
             }
             Err(Failure::Lost { reason }) => {
-                course.ran(&mut failed, None);
-                note(job, &backend, "lost", &reason);
+                progress.ran(&mut failed, None);
+                log_failure(job, &backend, "lost", &reason);
             }
         }
-        let repeats = job.route.kind == Kind::Idempotent && course.ran < job.route.attempts;
-        if course.ran > 0 && !repeats {
+        let may_retry = job.route.kind == Kind::Idempotent && progress.ran < job.route.attempts;
+        if progress.ran > 0 && !may_retry {
             return failed.ok_or(Refusal::new(Reason::Lost));
         }
-        if course.refusals >= REFUSALS {
-            return failed.ok_or_else(|| refusal(course));
+        if progress.refusals >= REFUSAL_LIMIT {
+            return failed.ok_or_else(|| refusal(progress));
         }
     }
 }
 
-/// Tells what a send showed of the server's version.
-fn saw<D: Codec>(
-    relay: &Relay<D>,
+/// Records the outcome of an attempt for the comparison of versions.
+fn record_attempt<C: Codec>(
+    relay: &Relay<C>,
     job: &Job,
     backend: &Backend,
-    taken: &Result<Taken, Failure>,
+    received: &Result<Received, Failure>,
     sent_at: Duration,
 ) {
-    let failed = match taken {
-        Ok(taken) => taken.status.is_server_error(),
+    let failed = match received {
+        Ok(received) => received.status.is_server_error(),
         Err(Failure::Lost { .. }) => true,
         Err(Failure::NotSent { .. } | Failure::NotRun { .. }) => return,
     };
     let took = relay.clock.now().saturating_sub(sent_at);
-    let sight = Sight {
+    let measurement = Measurement {
         failed: Some(failed),
         call: (!failed).then_some(took),
-        ..Sight::default()
+        ..Measurement::default()
     };
-    relay.saw(backend, &job.route.name, sight);
+    relay.record_measurement(backend, &job.route.name, measurement);
 }
 
-impl Course {
-    /// Notes a send that ran, or may have; `taken` is the server's answer, which is a failure.
-    fn ran(&mut self, failed: &mut Option<Taken>, taken: Option<Taken>) {
+impl Progress {
+    /// Records an attempt that ran or may have run; `received` is the server's error response, if
+    /// there is one.
+    fn ran(&mut self, failed: &mut Option<Received>, received: Option<Received>) {
         self.arrivals += 1;
         self.ran += 1;
-        if taken.is_some() {
-            *failed = taken;
+        if received.is_some() {
+            *failed = received;
         }
     }
 }
 
-fn note(job: &Job, backend: &Backend, outcome: &str, reason: &str) {
+fn log_failure(job: &Job, backend: &Backend, outcome: &str, reason: &str) {
     log::info!(
         request = &*job.original.request_id, server = &*backend.server.id,
         failure_domain = &*backend.server.failure_domain, outcome, reason;
@@ -206,44 +207,44 @@
     );
 }
 
-/// Returns the refusal of a call that no server took.
-fn refusal(course: &Course) -> Refusal {
-    match course {
-        course if course.ran > 0 => Refusal::new(Reason::Lost),
-        course if course.full => Refusal::come_back(Reason::Full, FULL_PAUSE),
-        _ => Refusal::come_back(Reason::NoServer, NO_SERVER_PAUSE),
+/// Returns the refusal of a call that no server accepted.
+fn refusal(progress: &Progress) -> Refusal {
+    match progress {
+        progress if progress.ran > 0 => Refusal::new(Reason::Lost),
+        progress if progress.full => Refusal::with_retry(Reason::Full, FULL_PAUSE),
+        _ => Refusal::with_retry(Reason::NoServer, NO_SERVER_PAUSE),
     }
 }
 
-/// Chooses the next server; waits a little for one where none is known.
-async fn next<D: Codec>(relay: &Relay<D>, job: &Job, course: &Course) -> Option<Arc<Backend>> {
-    let wanted = Wanted {
+/// Chooses the next server. The first attempt waits up to [`SHORT_WAIT`] for one to become known.
+async fn next<C: Codec>(relay: &Relay<C>, job: &Job, progress: &Progress) -> Option<Arc<Backend>> {
+    let criteria = Criteria {
         service: &job.service,
-        not: &course.tried,
-        outside: &[],
-        distance: DISTANCE,
+        excluded: &progress.tried,
+        avoided_domains: &[],
+        remote_penalty: REMOTE_PENALTY,
         measure: Measure::Calls { horizon: HORIZON },
-        side: if course.tried.is_empty() {
-            job.side
+        cohort: if progress.tried.is_empty() {
+            job.cohort
         } else {
-            relay.repeat_side(&job.service)
+            relay.assign_retry_cohort(&job.service)
         },
         version: None,
-        lot: job.lot(),
+        request_hash: job.request_hash(),
     };
-    if let Some(backend) = relay.choose(wanted) {
+    if let Some(backend) = relay.choose(criteria) {
         return Some(backend);
     }
-    if !course.tried.is_empty() {
+    if !progress.tried.is_empty() {
         return None;
     }
     let mut changed = relay.changed.subscribe();
-    let known = changed.wait_for(|_| relay.choose(wanted).is_some());
+    let known = changed.wait_for(|_| relay.choose(criteria).is_some());
     let _ = tokio::time::timeout(SHORT_WAIT, known).await;
-    relay.choose(wanted)
+    relay.choose(criteria)
 }
 
-fn send<D: Codec>(relay: &Relay<D>, job: &Job, backend: &Backend) -> Dispatch {
+fn dispatch<C: Codec>(relay: &Relay<C>, job: &Job, backend: &Backend) -> Dispatch {
     Dispatch {
         server: Arc::clone(&backend.server),
         account: job.account.as_ref().map(|a| Arc::clone(&a.name)),
@@ -255,12 +256,12 @@
     }
 }
 
-/// Reads a server's answer, whole if it is not too large.
-async fn read_response<D: Codec>(
-    relay: &Relay<D>,
+/// Reads a server's response, whole if it is within [`BUFFER_LIMIT`].
+async fn read_response<C: Codec>(
+    relay: &Relay<C>,
     backend: &Backend,
     answer: Answer,
-) -> Result<Taken, Failure> {
+) -> Result<Received, Failure> {
     let Answer {
         response, guard, ..
     } = answer;
@@ -277,29 +278,29 @@
             }
         })?;
         bytes.extend_from_slice(&frame.into_data().unwrap_or_default());
-        if bytes.len() > WHOLE_LIMIT {
-            let (sender, parts_of_body) = mpsc::channel(PARTS_WAITING);
-            tokio::spawn(pass_on(bytes.freeze(), body, sender, guard));
-            return Ok(Taken {
+        if bytes.len() > BUFFER_LIMIT {
+            let (sender, body_parts) = mpsc::channel(PART_QUEUE);
+            tokio::spawn(forward(bytes.freeze(), body, sender, guard));
+            return Ok(Received {
                 status: parts.status,
                 headers,
                 content: Content::Parts {
-                    parts: parts_of_body,
+                    parts: body_parts,
                     length,
                 },
             });
         }
     }
     headers.insert(CONTENT_LENGTH, bytes.len().into());
-    Ok(Taken {
+    Ok(Received {
         status: parts.status,
         headers,
         content: Content::Whole(Some(bytes.freeze())),
     })
 }
 
-/// Passes on the rest of a large answer.
-async fn pass_on(
+/// Forwards a large response as it arrives.
+async fn forward(
     first: Bytes,
     mut body: Incoming,
     sender: mpsc::Sender<Part>,
@@ -313,7 +314,7 @@
         next = match body.frame().await {
             Some(Ok(frame)) => Some(frame.into_data().unwrap_or_default()),
             Some(Err(error)) => {
-                log::warn!(reason = error.to_string().as_str(); "a large answer broke off");
+                log::warn!(reason = error.to_string().as_str(); "large response truncated by the server");
                 return;
             }
             None => None,
--- a/relay/src/changelog.rs
+++ b/relay/src/changelog.rs
@@ -1,9 +1,9 @@
-//! What this entry last read in the store, for the other entries.
+//! Keeps the newest known change of each store key, and serves the changes to the other entries.
 //!
-//! An entry that is cut off from the store, whose watch has fallen silent, or that started while
-//! the store is away, catches up from a peer: messages between entries tell how far each has read,
-//! and one that is behind for [`PATIENCE`] asks the one that is ahead. Every value carries the
-//! store's revision, so nothing known is replaced by something older.
+//! An entry catches up from a peer if it is cut off from the store, its watch has fallen silent, or
+//! it started while the store was unavailable. Messages between entries carry the revision that
+//! each has read. One that stays behind for [`CATCH_UP_DELAY`] fetches the changes from the sender.
+//! Every value carries the store's revision, so a newer value is never replaced by an older one.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,18 +25,18 @@
 use crate::state::Relay;
 use crate::store_watch;
 
-/// Time that an entry waits for its own watch before it asks a peer that is ahead.
-const PATIENCE: Duration = Duration::from_millis(150);
+/// Time that an entry waits for its own watch before it fetches changes from a peer that is ahead.
+const CATCH_UP_DELAY: Duration = Duration::from_millis(150);
 
-/// Longest wait for a peer's answer.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Longest wait for a peer's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Removed keys that are remembered; beyond them a peer that is far behind keeps some entries
-/// until it reads the store itself.
-const REMOVED_KEPT: usize = 4_096;
+/// Removed keys that are kept. If more are removed, a peer that is far behind keeps some removed
+/// entries until it reads the store itself.
+const REMOVED_LIMIT: usize = 4_096;
 
-/// Path of the changes after a revision.
-const PATH: &str = "/changes/";
+/// Path prefix of the changes after a revision.
+const CHANGES_PATH: &str = "/changes/";
 
 /// The newest known change of each key.
 #[derive(Debug, Default)]
@@ -46,7 +46,7 @@
 }
 
 impl Changelog {
-    /// Takes in a change, unless a newer one of its key is known.
+    /// Adds a change, unless a newer one of its key is known.
     pub fn insert(&mut self, change: &Change) {
         let known = self.changes.get(change.key.as_str());
         if known.is_some_and(|known| known.revision >= change.revision) {
@@ -56,7 +56,7 @@
             .insert(Arc::from(change.key.as_str()), change.clone());
     }
 
-    /// Notes that all changes up to `revision` have been taken in.
+    /// Records that all changes up to `revision` have been added.
     pub fn mark_complete(&mut self, revision: u64) {
         self.revision = self.revision.max(revision);
         let removed = |change: &Change| change.value.is_none();
@@ -66,15 +66,15 @@
             .filter(|change| removed(change))
             .map(|change| change.revision)
             .collect();
-        if revisions.len() > REMOVED_KEPT {
+        if revisions.len() > REMOVED_LIMIT {
             revisions.sort_unstable();
-            let oldest = revisions[revisions.len() - REMOVED_KEPT / 2];
+            let oldest = revisions[revisions.len() - REMOVED_LIMIT / 2];
             self.changes
                 .retain(|_, change| !removed(change) || change.revision >= oldest);
         }
     }
 
-    /// Returns the revision up to which all changes have been taken in.
+    /// Returns the revision up to which all changes have been added.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -98,20 +98,20 @@
 }
 
 /// Serves the changes to the other entries.
-pub async fn serve<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener) {
+pub async fn serve<C: Codec>(relay: Arc<Relay<C>>, listener: TcpListener) {
     internal_http::serve(listener, move |request| reply(&relay, request)).await;
 }
 
-fn reply<D: Codec>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-    let after = request.uri().path().strip_prefix(PATH);
+fn reply<C: Codec>(relay: &Relay<C>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+    let after = request.uri().path().strip_prefix(CHANGES_PATH);
     let after = after.and_then(|after| after.parse().ok());
-    let changes = after.map(|after| relay.changelog(|mirror| mirror.changes_since(after)));
-    let body = changes.map(|changes| encoding::pack(&changes));
+    let changes = after.map(|after| relay.changelog(|changelog| changelog.changes_since(after)));
+    let body = changes.map(|changes| encoding::encode(&changes));
     let mut response = Response::new(Full::from(Bytes::new()));
     match body {
         Some(Ok(body)) => *response.body_mut() = Full::from(body),
         Some(Err(error)) => {
-            log::error!(reason = error.to_string().as_str(); "changes can't be written for a peer");
+            log::error!(reason = error.to_string().as_str(); "changes for a peer not encoded");
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
         }
         None => *response.status_mut() = StatusCode::NOT_FOUND,
@@ -119,25 +119,25 @@
     response
 }
 
-/// Catches up from a peer that has read up to `revision`, if this entry is still behind after a
-/// short while.
-pub async fn catch_up<D: Codec>(relay: Arc<Relay<D>>, peer: SocketAddr, revision: u64) {
-    let own = || relay.changelog(|mirror| mirror.revision());
+/// Catches up from a peer that has read up to `revision`, if this entry is still behind after
+/// [`CATCH_UP_DELAY`].
+pub async fn catch_up<C: Codec>(relay: Arc<Relay<C>>, peer: SocketAddr, revision: u64) {
+    let own = || relay.changelog(|changelog| changelog.revision());
     if own() > 0 {
-        sleep(PATIENCE).await;
+        sleep(CATCH_UP_DELAY).await;
     }
     let after = own();
     if after >= revision {
         return;
     }
-    let order = Command {
+    let command = Command {
         method: Method::GET,
-        path: format!("{PATH}{after}"),
+        path: format!("{CHANGES_PATH}{after}"),
         body: Bytes::new(),
     };
-    let asked = timeout(ANSWER_TIME, attempt::exchange(peer, order)).await;
-    let changes = match asked {
-        Ok(Ok((_, body))) => encoding::unpack::<Changes>(&body).map_err(|e| e.to_string()),
+    let response = timeout(RESPONSE_TIMEOUT, attempt::fetch(peer, command)).await;
+    let changes = match response {
+        Ok(Ok((_, body))) => encoding::decode::<Changes>(&body).map_err(|e| e.to_string()),
         Ok(Err(error)) => Err(error),
         Err(_) => Err("no answer in time".to_owned()),
     };
@@ -152,8 +152,10 @@
             for change in &changes.changes {
                 store_watch::apply(&relay, change);
             }
-            relay.changelog(|mirror| mirror.mark_complete(changes.revision));
+            relay.changelog(|changelog| changelog.mark_complete(changes.revision));
+        }
+        Err(reason) => {
+            log::info!(peer = peer.as_str(), reason = reason.as_str(); "catching up from a peer failed");
         }
-        Err(reason) => log::info!(peer = peer.as_str(), reason = reason.as_str(); "not caught up"),
     }
 }
--- a/relay/src/codec.rs
+++ b/relay/src/codec.rs
@@ -1,4 +1,7 @@
-//! What a protocol of callers, servers and the store has to tell the relay.
+//! Interface to the protocol that callers, servers and the store speak.
+//!
+//! The relay works on the types of this module. An implementation of [`Codec`] decodes heads,
+//! reports and store values into them, and encodes the requests that the relay sends.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,80 +16,80 @@
 
 use medlarfall_runtime::store::Change;
 
-/// What the head of a caller's request says.
+/// Decoded head of a caller's request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Head {
     /// Identifier of the request.
     pub request_id: Arc<str>,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub timeout: Option<Duration>,
-    /// The key it presents.
+    /// API key of the caller.
     pub key: Option<Arc<str>>,
-    /// Last event that it has of a stream that broke off.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event: Option<u64>,
-    /// Hash of the prompt's parts, the same for prompts that share their beginning.
+    /// Hash of the prompt's shared parts; equal for prompts with the same prefix.
     pub prompt_hash: Option<u64>,
-    /// Identifier of the prompt's last part, which is the request's own.
+    /// Identifier of the last part of the prompt, which no other request shares.
     pub last_part: Option<Arc<str>>,
-    /// Tokens that the prompt has.
+    /// Length of the prompt in tokens.
     pub prompt_tokens: Option<u64>,
 }
 
-/// A copy of a run's memory on a server.
+/// A backup of a run's KV cache on a server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backup {
-    /// The server that holds it.
+    /// Address of the server that holds it.
     pub holder: SocketAddr,
-    /// Identifier of the run, or handle of the copy.
+    /// Identifier of the run, or the handle that the server returned for the backup.
     pub handle: Arc<str>,
 }
 
-/// What one send to a server adds to the caller's request.
+/// What one attempt adds to the caller's request.
 #[derive(Clone, Debug)]
 pub struct Dispatch {
-    /// The server that is meant.
+    /// The server that the request is addressed to.
     pub server: Arc<Server>,
     /// Client account of the request.
     pub account: Option<Arc<str>>,
-    /// Urgency; 0 is the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u8,
-    /// Time that is left.
+    /// Time remaining until the deadline.
     pub remaining: Duration,
-    /// Server that is to keep a backup copy of the run's memory.
+    /// Server that is to hold a backup of the run's KV cache.
     pub backup_target: Option<SocketAddr>,
-    /// Copy that the run goes on from.
+    /// Backup that the run resumes from.
     pub resume_from: Option<Backup>,
-    /// Last event that was handed on.
+    /// Id of the last event that was forwarded to the caller.
     pub last_event: Option<u64>,
 }
 
-/// What the head of a server's answer says.
+/// Decoded head of a server's response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Reply {
-    /// Whether the answer is to the request that was sent.
+    /// Whether the response carries the identifier of the request that was sent.
     pub matches: bool,
-    /// Whether the server says that it did not run the request.
+    /// Whether the server states that it did not run the request.
     pub not_run: bool,
-    /// Whether a server signed the answer.
+    /// Whether the response carries a server's signature.
     pub signed: bool,
-    /// Requests at the server, running and waiting.
+    /// Requests at the server, running and queued.
     pub requests: Option<u32>,
-    /// When the request may come back, if the server says so.
+    /// Pause before a retry, if the server states one.
     pub retry_after: Option<Duration>,
 }
 
-/// What a server says of itself when it is asked.
+/// Status report of a server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Report {
-    /// Requests at the server, running and waiting.
+    /// Requests at the server, running and queued.
     pub requests: u32,
-    /// When it started, in Unix milliseconds.
+    /// Start time, in Unix milliseconds.
     pub started_ms: Option<u64>,
-    /// Models that it holds.
+    /// Models that are loaded.
     pub models: Vec<Arc<str>>,
 }
 
-/// A call to a server about a copy of a run's memory.
+/// A control request to a server or to another entry, apart from callers' requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Command {
     /// Method.
@@ -97,123 +100,124 @@
     pub body: Bytes,
 }
 
-/// What a change in the store means.
+/// A decoded change of the store.
 #[derive(Debug)]
 pub enum Record {
     /// A configuration.
     Configuration(Table),
-    /// What a server announces.
+    /// Registration of a server.
     Server {
         /// The server.
         server: Server,
-        /// How much longer it is slow after its start.
+        /// Remaining warm-up time, in which the server is slower than usual.
         warmup: Duration,
     },
-    /// A server's entry was removed, or names no server.
+    /// A server's registration was removed, or can't be decoded.
     ServerRemoved {
         /// Name of the server.
         id: Arc<str>,
-        /// What is wrong with the entry; nothing if it was removed.
+        /// What is wrong with the registration; `None` if it was removed.
         problem: Option<String>,
     },
     /// The address of another entry.
     Peer {
         /// Name of the entry.
         name: Arc<str>,
-        /// Where it takes messages; nothing if its lease ended.
+        /// Where it receives peers' messages; `None` if its lease expired.
         address: Option<SocketAddr>,
     },
-    /// The operators' order to move a service to another version.
+    /// The operators' order to roll out another version of a service.
     Move {
         /// The service.
         service: Arc<str>,
-        /// The version, and the time that the move may take; nothing if the order is withdrawn.
+        /// The version and the duration of the move; `None` if the order was withdrawn.
         order: Option<(Arc<str>, Duration)>,
     },
-    /// The end of a move, as an entry recorded it.
+    /// The recorded end of a move.
     MoveEnd {
         /// The service.
         service: Arc<str>,
-        /// The version that it was to be moved to.
+        /// The version that the service was moved to.
         version: Arc<str>,
-        /// Whether that version serves.
+        /// Whether the version was accepted.
         good: bool,
     },
-    /// Nothing that the relay uses.
+    /// A key that the relay does not use.
     Other,
 }
 
-/// Why the head of a request, or a value in the store, can't be used.
+/// Error of decoding the head of a request or a value of the store.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display("{problem}"))]
 pub struct Invalid {
-    /// What is wrong, and what would be right.
+    /// What is wrong and how to correct it.
     pub problem: String,
 }
 
-/// A protocol of callers, servers and the store.
+/// Translates between the relay's types and the protocol of callers, servers and the store.
 pub trait Codec: std::marker::Send + Sync + 'static {
     /// Decodes the head of a caller's request.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with it.
+    /// Returns an error if a required header is missing or malformed.
     fn decode_request(&self, headers: &HeaderMap) -> Result<Head, Invalid>;
 
-    /// Returns the headers of a send: the caller's, but for those that concern one connection or
-    /// that only this system may set, and what the send adds.
+    /// Returns the headers of a forwarded request: the caller's without hop-by-hop headers and
+    /// headers that only this system may set, and those of the attempt.
     fn request_headers(&self, caller: &HeaderMap, send: &Dispatch) -> HeaderMap;
 
-    /// Decodes the head of a server's answer to the request `request_id`.
+    /// Decodes the head of a server's response to the request `request_id`.
     fn decode_reply(&self, request_id: &str, parts: &Parts) -> Reply;
 
-    /// Returns the headers of a server's answer that the caller gets.
+    /// Returns the headers of a server's response that are passed to the caller.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// Returns the headers of an answer of this system's own.
+    /// Returns the headers of a response that this entry itself makes, such as a refusal.
     fn refusal_headers(&self, request_id: Option<&str>, retry_after: Option<Duration>)
     -> HeaderMap;
 
-    /// Returns the path at which a server reports on itself.
+    /// Returns the path of a server's status report.
     fn report_path(&self) -> &'static str;
 
-    /// Decodes a server's report on itself.
+    /// Decodes a server's status report.
     fn decode_report(&self, status: StatusCode, body: &[u8]) -> Option<Report>;
 
-    /// Returns the path at which a server tells its health and its name.
+    /// Returns the path of a server's health check, whose response carries the server's name.
     fn health_path(&self) -> &'static str;
 
-    /// Decodes the name of a server that says that it is well.
+    /// Decodes the server's name from the response to a health check; `None` if the server is not
+    /// healthy.
     fn decode_health(&self, parts: &Parts) -> Option<Arc<str>>;
 
-    /// Returns the order to copy the memory of the run `request_id` to the server at `target`.
+    /// Returns the command to copy the KV cache of the run `request_id` to the server at `target`.
     fn copy_command(&self, request_id: &str, target: SocketAddr) -> Command;
 
-    /// Decodes the handle of a copy that was made.
+    /// Decodes the handle of the backup that a copy command made.
     fn decode_copy(&self, status: StatusCode, body: &[u8]) -> Option<Arc<str>>;
 
-    /// Returns the order to free a copy.
+    /// Returns the command to free a backup.
     fn free_command(&self, handle: &str) -> Command;
 
-    /// Returns the question for the parts of prompts that a server keeps.
+    /// Returns the command that lists the parts of prompts in a server's cache.
     fn cache_command(&self) -> Command;
 
-    /// Decodes how many tokens of `part` a server keeps.
+    /// Decodes how many tokens of `part` a server has in its cache.
     fn decode_cached_tokens(&self, status: StatusCode, body: &[u8], part: &str) -> u64;
 
-    /// Decodes a change in the store.
+    /// Decodes a change of the store.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with a configuration.
+    /// Returns an error if a configuration or an order to move a service is invalid.
     fn decode_record(&self, change: &Change) -> Result<Record, Invalid>;
 
-    /// Returns the key and value that tell the operators how a move to `version` has ended.
+    /// Returns the key and value that record the end of a move to `version` for the operators.
     fn move_status(&self, service: &str, version: &str, good: bool) -> (String, String);
 
-    /// Returns the key under which an entry makes its address known.
+    /// Returns the key under which an entry registers its address.
     fn entry_key(&self, entry: &str) -> String;
 
-    /// Returns whether `key` is that of a server, and the server's name.
+    /// Returns the server's name if `key` is the key of a server's registration.
     fn server_id<'key>(&self, key: &'key str) -> Option<&'key str>;
 }
--- a/relay/src/daemon.rs
+++ b/relay/src/daemon.rs
@@ -1,4 +1,4 @@
-//! Runs the relay of one entry from its start to its orderly stop.
+//! Runs the relay of one entry from its start to its graceful stop.
 
 use std::io;
 use std::net::SocketAddr;
@@ -18,19 +18,19 @@
 use crate::state::Relay;
 use crate::{broadcast, changelog, internal_http, listener, moves, rediscover, store_watch};
 
-/// Time after the order to stop until kept connections are closed: the platform asks once a second
-/// and sends nothing new after two answers that are not ready.
-const LEAVE_ROTATION: Duration = Duration::from_millis(2_200);
+/// Time from the stop signal until idle connections are closed. The platform polls readiness once a
+/// second and routes nothing new here after two responses that are not ready.
+const ROTATION_DELAY: Duration = Duration::from_millis(2_200);
 
-/// Time before the end of the grace period at which the process ends whatever still runs.
+/// Time before the end of the grace period at which the process ends requests that are still
+/// running.
 const GRACE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Path at which metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Serves until `stop` resolves, then stops in order.
-pub async fn run<D: Codec, S: Store>(
-    relay: Arc<Relay<D>>,
+/// Serves until `stop` resolves, then stops gracefully.
+pub async fn run<C: Codec, S: Store>(
+    relay: Arc<Relay<C>>,
     store: S,
     callers: TcpListener,
     readiness: TcpListener,
@@ -40,10 +40,10 @@
     tokio::spawn(store_watch::run(Arc::clone(&relay), store.clone()));
     tokio::spawn(moves::run(Arc::clone(&relay), store.clone()));
     tokio::spawn(rediscover::run(Arc::clone(&relay)));
-    let readiness_address = bound(&readiness);
+    let readiness_address = bound_address(&readiness);
     tokio::spawn(serve_status(Arc::clone(&relay), readiness));
     if let Some(address) = relay.settings.peer_address {
-        match messages(address).await {
+        match bind_peer_port(address).await {
             Ok((socket, listener)) => {
                 tokio::spawn(changelog::serve(Arc::clone(&relay), listener));
                 tokio::spawn(broadcast::run(Arc::clone(&relay), socket));
@@ -56,13 +56,13 @@
             Err(error) => {
                 let reason = error.to_string();
                 log::error!(address = address.to_string().as_str(), reason = reason.as_str();
-                    "no messages of other entries: the address can't be used");
+                    "no messages between entries: the address can't be bound");
             }
         }
     }
     log::info!(
         entry = &*relay.settings.entry, failure_domain = &*relay.settings.failure_domain,
-        callers = bound(&callers).as_str(), readiness = readiness_address.as_str(),
+        callers = bound_address(&callers).as_str(), readiness = readiness_address.as_str(),
         version = env!("CARGO_PKG_VERSION");
         "start"
     );
@@ -75,7 +75,7 @@
     let _ = relay.ends_at.set(relay.clock.now() + grace);
     relay.stopping.send_replace(true);
     let end = tokio::time::Instant::now() + grace;
-    tokio::time::sleep(LEAVE_ROTATION.min(grace)).await;
+    tokio::time::sleep(ROTATION_DELAY.min(grace)).await;
     relay.draining.send_replace(true);
     tracker.close();
     let ended = tokio::time::timeout_at(end, tracker.wait()).await;
@@ -83,24 +83,24 @@
     log::info!(connections = tracker.len(), whole = ended.is_ok(); "stop");
 }
 
-/// Returns the address that a listener is bound to.
-fn bound(listener: &TcpListener) -> String {
+/// Returns the address of a listener, or the error as text.
+fn bound_address(listener: &TcpListener) -> String {
     let address = listener.local_addr();
     address.map_or_else(|error| error.to_string(), |address| address.to_string())
 }
 
-/// Opens the port for messages of other entries.
-async fn messages(address: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
+/// Opens the UDP and TCP port for messages of other entries.
+async fn bind_peer_port(address: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
     let socket = UdpSocket::bind(address).await?;
     Ok((socket, TcpListener::bind(address).await?))
 }
 
-/// Answers whether the entry is ready, and serves its metrics.
-pub async fn serve_status<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener) {
+/// Serves readiness checks and metrics.
+pub async fn serve_status<C: Codec>(relay: Arc<Relay<C>>, listener: TcpListener) {
     internal_http::serve(listener, move |request| reply(&relay, request)).await;
 }
 
-fn reply<D: Codec>(relay: &Relay<D>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn reply<C: Codec>(relay: &Relay<C>, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     if request.uri().path() == METRICS_PATH {
         *response.body_mut() = Full::from(relay.metrics_text());
--- a/relay/src/encoding.rs
+++ b/relay/src/encoding.rs
@@ -1,5 +1,5 @@
-//! Packs what entries tell one another: JSON, deflated. Names and addresses that repeat make it
-//! several times smaller, and narrow links carry it beside callers' requests.
+//! Encodes messages between entries as deflated JSON. Repeated names and addresses compress several
+//! times, and narrow links carry the messages beside callers' requests.
 
 use std::io::{Read, Write};
 
@@ -10,46 +10,49 @@
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu};
 
-/// Largest content, in bytes: a large configuration and thousands of servers are about a megabyte.
+/// Largest decoded size, in bytes. A large configuration with thousands of servers takes about a
+/// megabyte.
 const CONTENT_LIMIT: u64 = 16 << 20;
 
-/// Why something can't be packed or unpacked.
+/// Why a value can't be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It is not deflated, or larger than what entries tell.
-    #[snafu(display("not unpacked: {source}"))]
-    Packed {
-        /// What went wrong.
+    /// Compression failed, or the bytes are not deflated or exceed the size limit.
+    #[snafu(display("message not inflated or deflated: {source}"))]
+    Compression {
+        /// The underlying error.
         source: std::io::Error,
     },
-    /// It is not of the form that is expected.
-    #[snafu(display("unexpected content: {source}"))]
+    /// The JSON content does not match the type.
+    #[snafu(display("message content is not the expected JSON: {source}"))]
     Content {
-        /// What went wrong.
+        /// The underlying error.
         source: serde_json::Error,
     },
 }
 
-/// Packs a value.
+/// Encodes a value.
 ///
 /// # Errors
 ///
-/// Returns why the value can't be written.
-pub fn pack<T: Serialize>(value: &T) -> Result<Vec<u8>, Error> {
+/// Returns an error if the value can't be serialized.
+pub fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, Error> {
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let content = serde_json::to_vec(value).context(ContentSnafu)?;
-    encoder.write_all(&content).context(PackedSnafu)?;
-    encoder.finish().context(PackedSnafu)
+    encoder.write_all(&content).context(CompressionSnafu)?;
+    encoder.finish().context(CompressionSnafu)
 }
 
-/// Unpacks a value.
+/// Decodes a value.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
-pub fn unpack<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
+/// Returns an error if the bytes are not deflated JSON of the type.
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Error> {
     let mut content = Vec::new();
     let mut decoder = DeflateDecoder::new(bytes).take(CONTENT_LIMIT);
-    decoder.read_to_end(&mut content).context(PackedSnafu)?;
+    decoder
+        .read_to_end(&mut content)
+        .context(CompressionSnafu)?;
     serde_json::from_slice(&content).context(ContentSnafu)
 }
--- a/relay/src/events.rs
+++ b/relay/src/events.rs
@@ -1,16 +1,16 @@
-//! Splits a stream of server-sent events into whole events, whose bytes stay as they are.
+//! Splits a stream of server-sent events into whole events without changing their bytes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event, in bytes; a larger one is not an event of a generation.
+/// Largest event, in bytes. Events of a generation are smaller.
 const EVENT_LIMIT: usize = 1 << 20;
 
-/// One event.
+/// One server-sent event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Event {
-    /// Its `id` field, if it has one that is a number.
+    /// Its `id` field, if there is one and it is a number.
     pub id: Option<u64>,
-    /// Its bytes, with the empty line that ends it.
+    /// Its bytes, including the empty line that ends it.
     pub bytes: Bytes,
 }
 
@@ -22,12 +22,12 @@
 }
 
 impl Splitter {
-    /// Adds bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next whole event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = self.end()?;
         let bytes = self.buffer.split_to(end).freeze();
@@ -38,25 +38,25 @@
         })
     }
 
-    /// Returns whether part of an event is left.
+    /// Returns whether part of an event remains in the buffer.
     #[must_use]
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Returns whether what is left is too large for an event.
+    /// Returns whether the remaining bytes exceed the size of an event.
     #[must_use]
     pub fn overflows(&self) -> bool {
         self.buffer.len() > EVENT_LIMIT
     }
 
-    /// Drops part of an event.
+    /// Discards the remaining bytes.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.scanned = 0;
     }
 
-    /// Returns the end of the first event, after the empty line.
+    /// Returns the offset after the empty line that ends the first event.
     fn end(&mut self) -> Option<usize> {
         let mut line_start = self.scanned;
         while let Some(length) = self.buffer[line_start..].iter().position(|b| *b == b'\n') {
--- a/relay/src/ingress.rs
+++ b/relay/src/ingress.rs
@@ -1,4 +1,5 @@
-//! Takes in a caller's request: finds its route and account, reads its body, and hands it on.
+//! Receives a caller's request: finds its route and account, reads its body, and passes it to
+//! [`call`] or [`stream`].
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -16,87 +17,90 @@
 
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::Original;
-use crate::codec::{Codec, Head};
+use crate::codec::{Codec, Head, Invalid};
 use crate::state::Relay;
 use crate::{call, stream};
 
-/// Longest time that a request waits for a configuration or a server that is about to be known.
-/// Within an eighth of the shortest target latency in use (300 ms), coming back is no sooner.
+/// Longest time that a request waits for a configuration or for a server to become known. It stays
+/// within an eighth of the shortest target latency in use (300 ms); a caller's retry would take no
+/// less.
 pub const SHORT_WAIT: Duration = Duration::from_millis(35);
 
-/// When a request may come back that found no configuration: reading one takes a few calls.
+/// Retry delay of a request that found no configuration, or no memory for its body: reading a
+/// configuration takes a few store calls.
 const CONFIGURATION_PAUSE: Duration = Duration::from_millis(300);
 
-/// When a request may come back that another entry can take at once.
+/// Retry delay of a request that another entry can serve immediately.
 const ELSEWHERE_PAUSE: Duration = Duration::from_millis(5);
 
-/// Time that a stream usually needs: a prompt of a second or two and some 130 events of 40 ms.
+/// Usual duration of a stream: prefill of one or two seconds and some 130 events of 40 ms.
 const STREAM_TIME: Duration = Duration::from_secs(7);
 
-/// A request that is about to be placed.
+/// A request that is ready to be placed.
 #[derive(Debug)]
 pub struct Job {
-    /// The request as it is sent on.
+    /// The request as it is forwarded.
     pub original: Original,
-    /// What its head says.
-    pub caller: Head,
+    /// Its decoded head.
+    pub head: Head,
     /// Its route.
     pub route: Arc<Route>,
-    /// Configuration that it came under.
+    /// Configuration in force when it arrived.
     pub table: Arc<Table>,
     /// Its account.
     pub account: Option<Arc<Account>>,
-    /// Service that takes it.
+    /// Service that it is sent to.
     pub service: Arc<str>,
-    /// Version that it goes to, if the service moves.
-    pub side: Option<Side>,
-    /// When its head came.
+    /// Version cohort that it is assigned to, if the service moves.
+    pub cohort: Option<Side>,
+    /// When its head arrived.
     pub began: Duration,
-    /// When its answer must have come.
+    /// When its answer is due.
     pub deadline: Duration,
-    /// Memory of its body.
-    pub hold: Hold,
+    /// Reserved memory for its body.
+    pub reservation: Hold,
 }
 
 impl Job {
-    /// Returns the urgency; 0 is the most urgent.
+    /// Returns the priority; 0 is the highest.
     #[must_use]
     pub fn priority(&self) -> u8 {
         let account = self.account.as_ref().and_then(|account| account.priority);
         account.unwrap_or(self.route.priority).min(9)
     }
 
-    /// Returns a number that is the same for requests that share a prompt, and else of the request.
+    /// Returns the hash that places the request: the hash of its prompt prefix, or else of its
+    /// identifier.
     #[must_use]
-    pub fn lot(&self) -> u64 {
+    pub fn request_hash(&self) -> u64 {
         let own = || xxh3_64(self.original.request_id.as_bytes());
-        self.caller.prompt_hash.unwrap_or_else(own)
+        self.head.prompt_hash.unwrap_or_else(own)
     }
 }
 
-/// Answers a request.
+/// Handles a request.
 ///
 /// # Errors
 ///
 /// Never.
-pub async fn handle<D: Codec>(
-    relay: Arc<Relay<D>>,
+pub async fn handle<C: Codec>(
+    relay: Arc<Relay<C>>,
     request: Request<Incoming>,
 ) -> Result<Response<Content>, Infallible> {
     let began = relay.clock.now();
     let chunked = request.headers().contains_key(TRANSFER_ENCODING);
-    let caller = relay.codec.decode_request(request.headers());
-    let id = caller.as_ref().ok();
-    let id = id.map(|caller| Arc::clone(&caller.request_id));
-    let mut response = match receive(&relay, request, caller, began).await {
+    let head = relay.codec.decode_request(request.headers());
+    let id = head.as_ref().ok();
+    let id = id.map(|head| Arc::clone(&head.request_id));
+    let mut response = match receive(&relay, request, head, began).await {
         Ok(job) if job.route.kind.streams() => stream::answer(&relay, job).await,
         Ok(job) => call::answer(&relay, job).await,
         Err(refusal) => {
-            refused(&relay, &refusal, id.as_deref().unwrap_or(""));
+            log_refusal(&relay, &refusal, id.as_deref().unwrap_or(""));
             refusal.response(&relay.codec, id.as_deref())
         }
     };
-    // After a chunked body the connection ends: what follows it may be a request in disguise.
+    // Closes the connection after a chunked body, as a guard against request smuggling.
     if chunked || *relay.stopping.borrow() {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(CONNECTION, close);
@@ -104,7 +108,7 @@
     Ok(response)
 }
 
-fn refused<D: Codec>(relay: &Relay<D>, refusal: &Refusal, request_id: &str) {
+fn log_refusal<C: Codec>(relay: &Relay<C>, refusal: &Refusal, request_id: &str) {
     let status = refusal.reason.status().as_u16();
     relay.metrics.end("none", status, refusal.reason.name());
     log::info!(
@@ -113,14 +117,14 @@
     );
 }
 
-/// Checks a request and reads its body.
-async fn receive<D: Codec>(
-    relay: &Arc<Relay<D>>,
+/// Validates a request and reads its body.
+async fn receive<C: Codec>(
+    relay: &Arc<Relay<C>>,
     request: Request<Incoming>,
-    caller: Result<Head, crate::codec::Invalid>,
+    head: Result<Head, Invalid>,
     began: Duration,
 ) -> Result<Job, Refusal> {
-    let caller = caller.map_err(|_| Refusal::new(Reason::Malformed))?;
+    let head = head.map_err(|_| Refusal::new(Reason::Malformed))?;
     let table = table(relay).await?;
     let (parts, body) = request.into_parts();
     let host = host(&parts.uri, &parts.headers).ok_or(Refusal::new(Reason::Malformed))?;
@@ -131,56 +135,56 @@
     }
     let route = table.route(&host, parts.uri.path());
     let route = Arc::clone(route.ok_or(Refusal::new(Reason::NoRoute))?);
-    let account = caller.key.as_deref().and_then(|key| table.account(key));
+    let account = head.key.as_deref().and_then(|key| table.account(key));
     let account = account.cloned();
     if account.is_none() && table.needs_key(&route) {
         return Err(Refusal::new(Reason::UnknownKey));
     }
     if relay.ends_before(usual_time(&route)) {
-        return Err(Refusal::come_back(Reason::Stopping, ELSEWHERE_PAUSE));
+        return Err(Refusal::with_retry(Reason::Stopping, ELSEWHERE_PAUSE));
     }
-    let timeout = caller.timeout.unwrap_or(route.timeout);
+    let timeout = head.timeout.unwrap_or(route.timeout);
     let body = read_within(body, table.limits.body_bytes, &relay.memory).await;
-    let (body, hold) = match body {
+    let (body, reservation) = match body {
         Ok(Some(body)) => body,
         Ok(None) if relay.memory.free() < table.limits.body_bytes => {
-            return Err(Refusal::come_back(Reason::Memory, CONFIGURATION_PAUSE));
+            return Err(Refusal::with_retry(Reason::Memory, CONFIGURATION_PAUSE));
         }
         Ok(None) => return Err(Refusal::new(Reason::BodyTooLarge)),
         Err(_) => return Err(Refusal::new(Reason::BodyBroken)),
     };
-    let lot = xxh3_64(caller.request_id.as_bytes());
-    let service = route.target(lot).cloned();
+    let request_hash = xxh3_64(head.request_id.as_bytes());
+    let service = route.target(request_hash).cloned();
     let service = service.ok_or(Refusal::new(Reason::NoRoute))?;
     let memory = table
         .service(&service)
         .map_or(0, |service| service.memory_tokens);
-    if memory > 0 && caller.prompt_tokens.is_some_and(|tokens| tokens > memory) {
+    if memory > 0 && head.prompt_tokens.is_some_and(|tokens| tokens > memory) {
         return Err(Refusal::new(Reason::PromptTooLarge));
     }
     relay.count_request(&service);
-    let side = relay.side(&service);
+    let cohort = relay.assign_cohort(&service);
     Ok(Job {
         original: Original {
-            request_id: Arc::clone(&caller.request_id),
+            request_id: Arc::clone(&head.request_id),
             method: parts.method,
             uri: origin_form(&parts.uri),
             headers: parts.headers,
             body,
         },
         deadline: began + timeout.min(route.timeout),
-        caller,
+        head,
         route,
         table,
         account,
         service,
-        side,
+        cohort,
         began,
-        hold,
+        reservation,
     })
 }
 
-/// Returns how long a request of a route usually lasts at most.
+/// Returns the longest usual duration of a request of a route.
 fn usual_time(route: &Route) -> Duration {
     if route.kind.streams() {
         STREAM_TIME
@@ -189,19 +193,19 @@
     }
 }
 
-/// Returns the configuration, for which a request may wait a little.
-async fn table<D: Codec>(relay: &Arc<Relay<D>>) -> Result<Arc<Table>, Refusal> {
+/// Returns the configuration; waits for it up to [`SHORT_WAIT`].
+async fn table<C: Codec>(relay: &Arc<Relay<C>>) -> Result<Arc<Table>, Refusal> {
     if let Some(table) = relay.table() {
         return Ok(table);
     }
     let mut changed = relay.changed.subscribe();
     let known = changed.wait_for(|_| relay.table().is_some());
     let _ = tokio::time::timeout(SHORT_WAIT, known).await;
-    let missing = Refusal::come_back(Reason::NoConfiguration, CONFIGURATION_PAUSE);
+    let missing = Refusal::with_retry(Reason::NoConfiguration, CONFIGURATION_PAUSE);
     relay.table().ok_or(missing)
 }
 
-/// Returns the host that a request names, without a port and in lower case.
+/// Returns the host of a request, without a port and in lower case.
 fn host(uri: &Uri, headers: &HeaderMap) -> Option<String> {
     let named = headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = uri
--- a/relay/src/internal_http.rs
+++ b/relay/src/internal_http.rs
@@ -1,4 +1,4 @@
-//! Serves small questions that are answered at once: readiness, metrics, and other entries' questions.
+//! HTTP server for requests that need no waiting: readiness checks, metrics, and changes for peers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,10 +14,10 @@
 use tokio::net::TcpListener;
 use tokio::time::sleep;
 
-/// Pause after an accept that failed for lack of descriptors.
+/// Pause after a failed accept, usually for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers every request with `reply`, for ever.
+/// Answers every request with `reply` until the task is aborted.
 pub async fn serve<R>(listener: TcpListener, reply: R)
 where
     R: Fn(&Request<Incoming>) -> Response<Full<Bytes>> + Send + Sync + 'static,
@@ -27,7 +27,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log::warn!(reason = error.to_string().as_str(); "question not accepted");
+                log::warn!(reason = error.to_string().as_str(); "connection not accepted on an internal port");
                 sleep(ACCEPT_PAUSE).await;
                 continue;
             }
@@ -40,7 +40,7 @@
             .serve_connection(TokioIo::new(stream), service);
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                log::debug!(reason = error.to_string().as_str(); "connection of a question ended");
+                log::debug!(reason = error.to_string().as_str(); "internal connection ended with an error");
             }
         });
     }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,11 +1,12 @@
-//! Relays opaque HTTP requests to the servers of services, under a configuration and a list of
-//! servers that a store holds.
+//! Relays opaque HTTP requests to the servers of services, according to a configuration and a list
+//! of servers in a store.
 //!
-//! A request goes through [`intake`] (route, account, body), is placed by
-//! [`medlarfall_coordination::balance`], and is sent by [`attempt`]. [`call`] answers with a whole
-//! response; [`stream`] hands on events as they come and goes on at another server when one is
-//! lost, which [`monitor`] finds out. [`follow`] keeps [`state`] up to date from the store. What
-//! the outside protocol calls things is decoded by a [`codec::Dialect`].
+//! [`ingress`] receives a request, finds its route and account and reads its body.
+//! [`state::Relay::choose`] places it with [`medlarfall_coordination::balance`], and [`attempt`]
+//! sends it. [`call`] returns a whole response; [`stream`] forwards events as they arrive and
+//! resumes at another server when [`monitor`] reports one lost. [`store_watch`] keeps [`state`] up
+//! to date from the store, and [`broadcast`] shares it with the other entries. A [`codec::Codec`]
+//! translates the outside protocol.
 
 pub mod answer;
 pub mod attempt;
--- a/relay/src/listener.rs
+++ b/relay/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts callers' connections, serves each on its own task, and ends them in order at a stop.
+//! Accepts callers' connections, serves each on its own task, and closes them gracefully at a stop.
 
 use std::io;
 use std::sync::Arc;
@@ -14,15 +14,15 @@
 use crate::ingress;
 use crate::state::Relay;
 
-/// Callers may reuse a connection until shortly before the limit on idle time; the connection is
-/// kept a little longer, so that none is closed under a request.
+/// Factor on the configured idle time. Callers reuse a connection until shortly before the idle
+/// limit; the server keeps it longer, so that it never closes a connection under a new request.
 const IDLE_MARGIN: u32 = 2;
 
-/// Time after an accept that failed for lack of descriptors.
+/// Pause after a failed accept, usually for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts connections until `tracker` is closed and the task is ended.
-pub async fn serve<D: Codec>(relay: Arc<Relay<D>>, listener: TcpListener, tracker: TaskTracker) {
+/// Accepts connections until the task is aborted.
+pub async fn serve<C: Codec>(relay: Arc<Relay<C>>, listener: TcpListener, tracker: TaskTracker) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -37,9 +37,9 @@
 }
 
 /// Serves one connection.
-async fn connection<D: Codec>(relay: Arc<Relay<D>>, stream: TcpStream) {
+async fn connection<C: Codec>(relay: Arc<Relay<C>>, stream: TcpStream) {
     if let Err(error) = prepare(&stream) {
-        log::debug!(reason = error.to_string().as_str(); "connection without options");
+        log::debug!(reason = error.to_string().as_str(); "socket options of a caller's connection not set");
     }
     let limits = relay.table().map(|table| table.limits).unwrap_or_default();
     let mut draining = relay.draining.subscribe();
@@ -65,11 +65,11 @@
         connection.await
     };
     if let Err(error) = ended {
-        log::debug!(reason = error.to_string().as_str(); "connection of a caller ended");
+        log::debug!(reason = error.to_string().as_str(); "connection of a caller ended with an error");
     }
 }
 
-/// Sets the options of a caller's connection.
+/// Sets the socket options of a caller's connection.
 fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)
 }
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -14,52 +14,52 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Metric, Registry};
 
-/// Shortest bucket of a latency, in seconds.
+/// Upper bound of the first latency bucket, in seconds.
 const FIRST_BUCKET: f64 = 0.005;
 
-/// Buckets of a latency, each twice as wide as the one before: up to 41 s.
+/// Latency buckets; each bound is twice the one before, up to 41 s.
 const BUCKETS: u16 = 14;
 
-/// How a request ended.
+/// Labels of an ended request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct Ended {
+pub struct EndLabels {
     /// Route, or `none`.
     pub route: String,
-    /// Status that the caller got.
+    /// HTTP status of the response.
     pub status: u16,
-    /// `answered`, or why not.
+    /// `answered`, or the reason of the refusal or failure.
     pub reason: &'static str,
 }
 
-/// Route of a latency.
+/// Label of a route.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct OfRoute {
+pub struct RouteLabels {
     /// Route.
     pub route: String,
 }
 
-/// Cause of a resume.
+/// Label of a resume.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct Cause {
-    /// Why the stream left its server.
+pub struct CauseLabels {
+    /// Why the stream was moved from its server.
     pub cause: &'static str,
 }
 
-/// Kind of what is counted.
+/// Label of a kind.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct OfKind {
+pub struct KindLabels {
     /// The kind.
     pub kind: &'static str,
 }
 
-/// Service of what is counted; there are a few.
+/// Label of a service. A configuration has few of them.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
-pub struct OfService {
+pub struct ServiceLabels {
     /// The service.
     pub service: String,
 }
 
-/// Counts one request as open until it is dropped.
+/// Counts one request as open until this is dropped.
 #[derive(Debug)]
 pub struct Open(Gauge);
 
@@ -69,61 +69,62 @@
     }
 }
 
-/// What is measured when the metrics are asked for.
+/// Gauges that are computed when the metrics are scraped.
 #[derive(Clone, Debug, Default)]
-pub struct Figures {
-    /// Time since the configuration in force was learnt.
+pub struct Gauges {
+    /// Time since the configuration in force was received.
     pub configuration_age: Duration,
-    /// Time since the list of servers was last known to be whole.
+    /// Time since the list of servers was last known to be complete.
     pub servers_age: Duration,
-    /// Bytes of bodies that are held.
+    /// Bytes of request bodies in memory.
     pub held_bytes: usize,
     /// Other entries that are known.
     pub entries: usize,
-    /// Servers that take requests, by service.
+    /// Servers that accept requests, by service.
     pub servers: Vec<(String, usize)>,
 }
 
 /// The metrics.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Requests that are under way, by kind: `call` or `stream`.
-    pub open: Family<OfKind, Gauge>,
-    /// Time to the answer or first event by service, in seconds.
-    pub service_first: Family<OfService, Histogram>,
-    /// Age of what is known, in seconds: `configuration` or `servers`.
-    pub age: Family<OfKind, Gauge<f64, AtomicU64>>,
-    /// Bytes of bodies that are held.
+    /// Open requests by kind: `call` or `stream`.
+    pub open: Family<KindLabels, Gauge>,
+    /// Time to the response or first event by service, in seconds.
+    pub service_first: Family<ServiceLabels, Histogram>,
+    /// Age of the known `configuration` or `servers`, in seconds.
+    pub age: Family<KindLabels, Gauge<f64, AtomicU64>>,
+    /// Bytes of request bodies in memory.
     pub held_bytes: Gauge,
     /// Other entries that are known.
     pub entries: Gauge,
-    /// Servers that take requests, by service.
-    pub servers: Family<OfService, Gauge>,
-    /// Log lines that were not written: `folded` or `dropped`.
-    pub log_lines_lost: Family<OfKind, Counter>,
-    /// Requests by how they ended.
-    pub ended: Family<Ended, Counter>,
-    /// Answers that came later than their route aims at, or with a longer pause.
-    pub late: Family<OfRoute, Counter>,
-    /// Time to the answer, or to the first event of a stream, in seconds.
-    pub first: Family<OfRoute, Histogram>,
-    /// Streams that went on at another server, by cause.
-    pub resumed: Family<Cause, Counter>,
-    /// Time from the last event before a loss to the next one, in seconds.
+    /// Servers that accept requests, by service.
+    pub servers: Family<ServiceLabels, Gauge>,
+    /// Log lines that were not written, by kind: `folded` or `dropped`.
+    pub log_lines_lost: Family<KindLabels, Counter>,
+    /// Ended requests by route, status and reason.
+    pub ended: Family<EndLabels, Counter>,
+    /// Responses later than the route's target latency, or streams with a longer pause than its
+    /// limit.
+    pub late: Family<RouteLabels, Counter>,
+    /// Time to the response, or to the first event of a stream, by route, in seconds.
+    pub first: Family<RouteLabels, Histogram>,
+    /// Streams that left a server, by cause.
+    pub resumed: Family<CauseLabels, Counter>,
+    /// Time from the last event before a resume to the next event, in seconds.
     pub resume_gap: Histogram,
-    /// Questions to servers.
-    pub questions: Counter,
-    /// Servers found lost.
+    /// Probes of servers.
+    pub probes: Counter,
+    /// Servers that the monitor declared lost.
     pub servers_lost: Counter,
-    /// Repeats taken from the budgets.
+    /// Retries withdrawn from the budgets.
     pub retries: Counter,
-    /// Repeats that a budget refused.
+    /// Retries that a budget refused.
     pub retries_refused: Counter,
     /// Calls to the store.
     pub store_calls: Counter,
     /// Version of the configuration in force.
     pub configuration: Gauge,
-    /// Whether the store answers: 1 or 0.
+    /// Whether the store is available: 1 or 0.
     pub store_up: Gauge,
     registry: Mutex<Registry>,
 }
@@ -186,7 +187,7 @@
                 Family::default(),
             ),
             resume_gap: add(new, "resume_gap_seconds", "Pause of a resume", latency()),
-            questions: add(new, "questions", "Questions to servers", counter()),
+            probes: add(new, "questions", "Questions to servers", counter()),
             servers_lost: add(new, "servers_lost", "Servers found lost", counter()),
             retries: add(new, "retries", "Repeats sent", counter()),
             retries_refused: add(new, "retries_refused", "Repeats refused", counter()),
@@ -219,9 +220,9 @@
 }
 
 impl Metrics {
-    /// Counts a request that ended.
+    /// Counts an ended request.
     pub fn end(&self, route: &str, status: u16, reason: &'static str) {
-        let labels = Ended {
+        let labels = EndLabels {
             route: route.to_owned(),
             status,
             reason,
@@ -229,66 +230,72 @@
         self.ended.get_or_create(&labels).inc();
     }
 
-    /// Counts an answer that came later than its route aims at.
+    /// Counts a late response of a route.
     pub fn late(&self, route: &str) {
         let route = route.to_owned();
-        self.late.get_or_create(&OfRoute { route }).inc();
+        self.late.get_or_create(&RouteLabels { route }).inc();
     }
 
-    /// Measures the time to an answer or a first event.
+    /// Records the time to a response or a first event.
     pub fn answered(&self, route: &str, service: &str, time: Duration) {
         let seconds = time.as_secs_f64();
         let route = route.to_owned();
         self.first
-            .get_or_create(&OfRoute { route })
+            .get_or_create(&RouteLabels { route })
             .observe(seconds);
         let service = service.to_owned();
-        let of_service = self.service_first.get_or_create(&OfService { service });
+        let of_service = self.service_first.get_or_create(&ServiceLabels { service });
         of_service.observe(seconds);
     }
 
     /// Counts a request of a kind as open until the returned value is dropped.
     #[must_use]
     pub fn open(&self, kind: &'static str) -> Open {
-        let gauge = self.open.get_or_create(&OfKind { kind }).clone();
+        let gauge = self.open.get_or_create(&KindLabels { kind }).clone();
         gauge.inc();
         Open(gauge)
     }
 
-    /// Takes in what is measured when the metrics are asked for.
-    pub fn set(&self, figures: &Figures, log: Lost) {
+    /// Sets the gauges, and the counters of lost log lines.
+    pub fn set(&self, gauges: &Gauges, log: Lost) {
         let age = |kind, age: Duration| {
-            let gauge = self.age.get_or_create(&OfKind { kind }).clone();
+            let gauge = self.age.get_or_create(&KindLabels { kind }).clone();
             gauge.set(age.as_secs_f64());
         };
-        age("configuration", figures.configuration_age);
-        age("servers", figures.servers_age);
+        age("configuration", gauges.configuration_age);
+        age("servers", gauges.servers_age);
         let whole = |number: usize| i64::try_from(number).unwrap_or(i64::MAX);
-        self.held_bytes.set(whole(figures.held_bytes));
-        self.entries.set(whole(figures.entries));
-        for (service, count) in &figures.servers {
+        self.held_bytes.set(whole(gauges.held_bytes));
+        self.entries.set(whole(gauges.entries));
+        for (service, count) in &gauges.servers {
             let service = service.clone();
-            let gauge = self.servers.get_or_create(&OfService { service }).clone();
+            let gauge = self
+                .servers
+                .get_or_create(&ServiceLabels { service })
+                .clone();
             gauge.set(whole(*count));
         }
         for (kind, lines) in [("folded", log.folded), ("dropped", log.dropped)] {
-            let counter = self.log_lines_lost.get_or_create(&OfKind { kind }).clone();
+            let counter = self
+                .log_lines_lost
+                .get_or_create(&KindLabels { kind })
+                .clone();
             counter.inc_by(lines.saturating_sub(counter.get()));
         }
     }
 
-    /// Counts a stream that goes on at another server.
+    /// Counts a stream that leaves a server.
     pub fn resume(&self, cause: &'static str) {
-        self.resumed.get_or_create(&Cause { cause }).inc();
+        self.resumed.get_or_create(&CauseLabels { cause }).inc();
     }
 
-    /// Returns the metrics as text.
+    /// Returns the metrics in the Prometheus text format.
     #[must_use]
     pub fn text(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().unwrap_or_else(PoisonError::into_inner);
         if let Err(error) = encode(&mut text, &registry) {
-            log::error!(reason = error.to_string().as_str(); "metrics can't be written");
+            log::error!(reason = error.to_string().as_str(); "metrics not encoded");
         }
         text
     }
--- a/relay/src/monitor.rs
+++ b/relay/src/monitor.rs
@@ -1,7 +1,8 @@
-//! Watches the servers that run streams of this entry, and tells the streams when one is lost.
+//! Monitors the servers that run streams of this entry, and notifies the streams when a server is
+//! lost.
 //!
-//! There is one task for each server that has streams; it drives
-//! [`medlarfall_coordination::liveness`] and ends with the last stream.
+//! Each server with streams has one task, which drives a [`medlarfall_coordination::liveness`]
+//! detector and ends with the last stream.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use crate::codec::{Codec, Report};
 use crate::state::{Backend, Relay};
 
-/// What is known of a server with streams.
+/// Monitoring state of a server with streams.
 #[derive(Debug)]
 struct Watched {
     detector: Detector,
@@ -27,7 +28,7 @@
     watched: Mutex<Option<Watched>>,
 }
 
-/// A stream's interest in a server; dropped when the stream leaves it.
+/// A stream's subscription to the loss of a server; dropped when the stream leaves it.
 #[derive(Debug)]
 pub struct Subscription {
     backend: Arc<Backend>,
@@ -35,7 +36,7 @@
 }
 
 impl Subscription {
-    /// Returns when the server is lost.
+    /// Waits until the server is lost.
     pub async fn lost(&mut self) {
         if self.lost.wait_for(|lost| *lost).await.is_err() {
             std::future::pending::<()>().await;
@@ -54,8 +55,8 @@
 }
 
 impl Monitor {
-    /// Notes that something came from the server.
-    pub fn heard(&self, now: Duration) {
+    /// Records that data arrived from the server.
+    pub fn record_activity(&self, now: Duration) {
         self.with(|watched| {
             if let Some(watched) = watched {
                 watched.detector.heard(now);
@@ -67,7 +68,7 @@
         act(&mut self.watched.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Returns the next step; ends the watch when no stream is left.
+    /// Returns the next step; ends monitoring when no stream remains.
     fn step(&self, now: Duration, reading: bool) -> Option<Step> {
         self.with(|slot| {
             let watched = slot.as_ref()?;
@@ -84,18 +85,18 @@
         })
     }
 
-    /// Notes that a question that was asked at `asked_at` found no answer.
-    fn unanswered(&self, asked_at: Duration) {
+    /// Records that a probe sent at `sent_at` got no valid response.
+    fn record_failed_probe(&self, sent_at: Duration) {
         self.with(|watched| {
             if let Some(watched) = watched {
-                watched.detector.unanswered(asked_at);
+                watched.detector.unanswered(sent_at);
             }
         });
     }
 }
 
-/// Watches `backend` for a stream.
-pub fn subscribe<D: Codec>(relay: &Arc<Relay<D>>, backend: &Arc<Backend>) -> Subscription {
+/// Subscribes a stream to the loss of `backend`, and starts its monitor if needed.
+pub fn subscribe<C: Codec>(relay: &Arc<Relay<C>>, backend: &Arc<Backend>) -> Subscription {
     let now = relay.clock.now();
     let (lost, first) = backend.monitor.with(|slot| {
         let first = slot.is_none();
@@ -116,8 +117,8 @@
     }
 }
 
-/// Drives the detector of one server until its last stream has left or it is lost.
-async fn run<D: Codec>(relay: Arc<Relay<D>>, backend: Arc<Backend>) {
+/// Drives the detector of one server until its last stream has left or the server is lost.
+async fn run<C: Codec>(relay: Arc<Relay<C>>, backend: Arc<Backend>) {
     let step = || {
         let reading = backend.load(|load| load.only_reads());
         backend.monitor.step(relay.clock.now(), reading)
@@ -125,13 +126,13 @@
     while let Some(step) = step() {
         match step {
             Step::Wait(until) => tokio::time::sleep_until(relay.clock.instant(until)).await,
-            Step::Ask => ask(&relay, &backend).await,
+            Step::Ask => probe(&relay, &backend).await,
             Step::Lost => {
                 relay.record_unreachable(&backend);
                 relay.metrics.servers_lost.inc();
                 log::warn!(
                     server = &*backend.server.id, failure_domain = &*backend.server.failure_domain;
-                    "server lost: it is silent and does not answer questions"
+                    "server lost: silent and unresponsive to probes"
                 );
                 return;
             }
@@ -139,31 +140,32 @@
     }
 }
 
-/// Asks a server for its report.
-async fn ask<D: Codec>(relay: &Relay<D>, backend: &Arc<Backend>) {
-    let asked_at = relay.clock.now();
+/// Probes a server by fetching its status report.
+async fn probe<C: Codec>(relay: &Relay<C>, backend: &Arc<Backend>) {
+    let sent_at = relay.clock.now();
     let wait = relay.settings.liveness.answer;
-    let answer = attempt::report(relay, backend.server.address);
+    let answer = attempt::fetch_report(relay, backend.server.address);
     let answer = tokio::time::timeout(wait, answer).await;
     let now = relay.clock.now();
     match answer {
-        Ok(Ok(report)) if same_start(backend, &report) => {
-            relay.answered(backend);
+        Ok(Ok(report)) if same_incarnation(backend, &report) => {
+            relay.record_response(backend);
             backend.load(|load| load.reported(report.requests, now));
         }
-        // The connection was refused, or another start of the server answered: no need to wait.
+        // The connection was refused, or another incarnation responded: no need to wait for the
+        // time-out.
         Ok(_) => {
-            backend.monitor.unanswered(asked_at);
+            backend.monitor.record_failed_probe(sent_at);
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        Err(_) => backend.monitor.unanswered(asked_at),
+        Err(_) => backend.monitor.record_failed_probe(sent_at),
     }
 }
 
-/// Returns whether a report is by the start of the server that the streams run at.
-fn same_start(backend: &Backend, report: &Report) -> bool {
+/// Returns whether a report comes from the incarnation of the server that the streams run at.
+fn same_incarnation(backend: &Backend, report: &Report) -> bool {
     match (backend.server.born_ms, report.started_ms) {
-        (Some(known), Some(told)) => known == told,
+        (Some(known), Some(reported)) => known == reported,
         _ => true,
     }
 }
--- a/relay/src/moves.rs
+++ b/relay/src/moves.rs
@@ -1,4 +1,4 @@
-//! Ends moves of services in time, and records their ends in the store for the operators.
+//! Ends moves of services when they are due, and records their ends in the store for the operators.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -9,44 +9,43 @@
 use medlarfall_runtime::store::{Change, Error, Store};
 
 use crate::codec::{Codec, Record};
-use crate::state::{Ended, Relay};
-use crate::store_watch::within;
+use crate::state::{MoveEnd, Relay};
+use crate::store_watch::with_timeout;
 
-/// Time between two looks at moves that are under way.
+/// Time between two checks of the moves in progress.
 const INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time in which changes of moves gather.
-const GATHER: Duration = Duration::from_millis(1);
+/// Pause after a change, so that one check covers several changes.
+const COALESCE: Duration = Duration::from_millis(1);
 
-/// Drives the moves for ever. Only entries that read the store record ends: the others' would say
-/// the same, and each call is paid for.
-pub async fn run<D: Codec, S: Store>(relay: Arc<Relay<D>>, store: S) {
+/// Drives the moves until the task is aborted. Only entries that read the store record ends: the
+/// others would write the same, and each store call has a cost.
+pub async fn run<C: Codec, S: Store>(relay: Arc<Relay<C>>, store: S) {
     loop {
         if !relay.conclude_moves() {
             relay.moves_changed.notified().await;
             continue;
         }
-        if relay.reads.load(Ordering::Relaxed) {
+        if relay.reads_store.load(Ordering::Relaxed) {
             for ended in relay.unrecorded_moves() {
                 record(&relay, &store, &ended).await;
             }
         }
         let _ = timeout(INTERVAL, relay.moves_changed.notified()).await;
-        // Several changes go into one look.
-        sleep(GATHER).await;
+        sleep(COALESCE).await;
     }
 }
 
-/// Records the end of a move, unless another end of it is recorded: that one holds.
-async fn record<D: Codec, S: Store>(relay: &Relay<D>, store: &S, ended: &Ended) {
-    let Ended {
+/// Records the end of a move, unless another entry has recorded one; that one is then adopted.
+async fn record<C: Codec, S: Store>(relay: &Relay<C>, store: &S, ended: &MoveEnd) {
+    let MoveEnd {
         service,
         order,
         good,
     } = ended;
     let (key, value) = relay.codec.move_status(service, &order.version, *good);
     relay.metrics.store_calls.inc();
-    let mut written = within(Duration::ZERO, store.put(&key, value.clone(), 0, None)).await;
+    let mut written = with_timeout(Duration::ZERO, store.put(&key, value.clone(), 0, None)).await;
     if let Err(Error::Conflict {
         current: Some(current),
     }) = &written
@@ -60,24 +59,24 @@
             Ok(Record::MoveEnd { version, good, .. })
                 if version == order.version && current.revision > order.revision =>
             {
-                relay.move_recorded(service, &version, good, current.revision);
+                relay.record_move_end(service, &version, good, current.revision);
                 return;
             }
             _ => {
                 relay.metrics.store_calls.inc();
                 let writing = store.put(&key, value, current.revision, None);
-                written = within(Duration::ZERO, writing).await;
+                written = with_timeout(Duration::ZERO, writing).await;
             }
         }
     }
     match written {
         Ok(revision) => {
-            relay.move_recorded(service, &order.version, *good, revision);
-            log::info!(service = &**service, version = &*order.version, good = *good; "operators told of a move's end");
+            relay.record_move_end(service, &order.version, *good, revision);
+            log::info!(service = &**service, version = &*order.version, good = *good; "end of a move recorded for the operators");
         }
         Err(error) => {
             let reason = error.to_string();
-            log::warn!(service = &**service, reason = reason.as_str(); "operators not told of a move's end yet");
+            log::warn!(service = &**service, reason = reason.as_str(); "end of a move not recorded yet");
         }
     }
 }
--- a/relay/src/prompt_cache.rs
+++ b/relay/src/prompt_cache.rs
@@ -1,8 +1,8 @@
-//! Finds the server that has read a prompt before.
+//! Finds the server that has a prompt in its cache.
 //!
-//! A caller that goes on with a broken stream comes back through any entry, often one that has
-//! just started and knows nothing of the stream. The server that ran it still has the prompt in
-//! its cache, and reading a prompt takes a second; so the servers are asked what they keep.
+//! A caller that resumes a broken stream may reach any entry, often one that has just started and
+//! knows nothing of the stream. The server that ran it still has the prompt in its cache, and
+//! prefill takes about a second, so this entry queries the caches of the likely servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,36 +14,39 @@
 use crate::codec::Codec;
 use crate::state::{Backend, Relay};
 
-/// Longest wait for the servers' answers: a tenth of what reading a usual prompt takes.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
+/// Longest wait for the servers' responses: a tenth of the usual prefill time.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Most servers that are asked: those that probably ran the stream.
-const ASKED: usize = 32;
+/// Most servers that are queried: those that probably ran the stream.
+const QUERY_LIMIT: usize = 32;
 
-/// Bytes of an answer, which tells all that a server keeps. Of 32 servers that were asked over links
-/// of 10 Mbit/s most did not answer in time; of 8 they did.
-const ANSWER_BYTES: usize = 16 << 10;
+/// Assumed size of a response, which lists the whole cache, in bytes. With 32 servers queried over
+/// links of 10 Mbit/s most did not respond in time; with 8 they did.
+const RESPONSE_BYTES: usize = 16 << 10;
 
-/// Load, in prompts that are read, from which another server is sooner than the one with the
-/// prompt in its cache.
-const BUSY: f64 = 2.0;
+/// Load, in prompts in prefill, from which prefill at another server is faster than the wait for
+/// the server with the cached prompt.
+const BUSY_LOAD: f64 = 2.0;
 
-/// Returns the server of `service` that keeps most of `part`, the last part of the prompt of
-/// `request_id`, whose streams are placed by `lot`.
-pub async fn holder<D: Codec>(
-    relay: &Relay<D>,
+/// Returns the server of `service` that has the most tokens of `part` in its cache, unless it is
+/// busy. `part` is the last part of the prompt of `request_id`, whose streams are placed by
+/// `request_hash`.
+pub async fn find_holder<C: Codec>(
+    relay: &Relay<C>,
     service: &str,
     request_id: &str,
     part: &str,
-    lot: u64,
+    request_hash: u64,
 ) -> Option<Arc<Backend>> {
-    let asked = askable(relay.settings.link_mbps);
-    let backends = relay.likely_servers(service, lot, asked);
-    let asked = backends.iter().map(|backend| kept(relay, backend, part));
-    let answers = join_all(asked).await;
-    let kept = answers.iter().zip(&backends);
-    let kept = kept.filter_map(|(tokens, backend)| tokens.map(|tokens| (tokens, backend)));
-    let best = kept.max_by_key(|(tokens, _)| *tokens);
+    let limit = query_limit(relay.settings.link_mbps);
+    let backends = relay.likely_servers(service, request_hash, limit);
+    let queries = backends
+        .iter()
+        .map(|backend| cached_tokens(relay, backend, part));
+    let answers = join_all(queries).await;
+    let held = answers.iter().zip(&backends);
+    let held = held.filter_map(|(tokens, backend)| tokens.map(|tokens| (tokens, backend)));
+    let best = held.max_by_key(|(tokens, _)| *tokens);
     let best = best.filter(|(tokens, _)| *tokens > 0);
     let load = best.map_or(0.0, |(_, backend)| relay.stream_load(backend));
     log::info!(
@@ -51,24 +54,27 @@
         answered = answers.iter().flatten().count(),
         server = best.map_or("", |(_, backend)| &*backend.server.id),
         tokens = best.map_or(0, |(tokens, _)| tokens), load;
-        "prompt looked for in the servers' caches"
+        "servers' caches queried for a prompt"
     );
     let (_, backend) = best?;
-    (load < BUSY).then(|| Arc::clone(backend))
+    (load < BUSY_LOAD).then(|| Arc::clone(backend))
 }
 
-/// Returns how many servers' answers a link carries in time.
-fn askable(link_mbps: u32) -> usize {
-    let bytes = u128::from(link_mbps) * ANSWER_TIME.as_micros() / 8;
-    usize::try_from(bytes).map_or(ASKED, |bytes| (bytes / ANSWER_BYTES).clamp(1, ASKED))
+/// Returns how many servers' responses a link carries in time.
+fn query_limit(link_mbps: u32) -> usize {
+    let bytes = u128::from(link_mbps) * RESPONSE_TIMEOUT.as_micros() / 8;
+    usize::try_from(bytes).map_or(QUERY_LIMIT, |bytes| {
+        (bytes / RESPONSE_BYTES).clamp(1, QUERY_LIMIT)
+    })
 }
 
-/// Returns how many tokens of `part` a server keeps, or nothing if it does not answer.
-async fn kept<D: Codec>(relay: &Relay<D>, backend: &Backend, part: &str) -> Option<u64> {
-    relay.metrics.questions.inc();
-    let order = relay.codec.cache_command();
-    let asked = attempt::exchange(backend.server.address, order);
-    let answer = timeout(ANSWER_TIME, asked).await.ok()?;
+/// Returns how many tokens of `part` a server has in its cache, or `None` if it does not respond in
+/// time.
+async fn cached_tokens<C: Codec>(relay: &Relay<C>, backend: &Backend, part: &str) -> Option<u64> {
+    relay.metrics.probes.inc();
+    let command = relay.codec.cache_command();
+    let query = attempt::fetch(backend.server.address, command);
+    let answer = timeout(RESPONSE_TIMEOUT, query).await.ok()?;
     let (parts, body) = answer.ok()?;
     Some(relay.codec.decode_cached_tokens(parts.status, &body, part))
 }
--- a/relay/src/rediscover.rs
+++ b/relay/src/rediscover.rs
@@ -1,9 +1,9 @@
-//! Finds servers that started again under another name while the store does not answer.
+//! Finds servers that restarted under another name while the store is unavailable.
 //!
-//! A server that crashes is back after about a second. What the store says of it can't be read
-//! during an outage, so this entry asks at the address that it had. An address may meanwhile
-//! belong to a server of another service: the server found is used only if it holds a model that
-//! the servers of just one service hold, the service of the server that was there before.
+//! A crashed server is back after about a second, but its new registration can't be read during an
+//! outage of the store. This entry therefore probes the address that the server had. Meanwhile
+//! another service's server may have taken the address: the server found is used only if it holds a
+//! model that just one service's servers hold, and that is the service of the lost server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,74 +12,75 @@
 use crate::codec::Codec;
 use crate::state::{Backend, Relay};
 
-/// Time between questions.
+/// Time between probes.
 const INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time after a loss in which an outage of the store may begin and still hide the next start.
-const WATCHED: Duration = Duration::from_secs(4);
+/// Time after a loss during which an outage of the store may still begin and hide the server's
+/// restart.
+const OUTAGE_WINDOW: Duration = Duration::from_secs(4);
 
-/// Questions until a search ends. A crashed server is back within a few seconds.
-const QUESTIONS: u32 = 40;
+/// Probes until a search ends. A crashed server is back within a few seconds.
+const PROBE_LIMIT: u32 = 40;
 
-/// Longest wait for an answer.
-const ANSWER_TIME: Duration = Duration::from_millis(150);
+/// Longest wait for the responses to a probe.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Looks for what has taken the place of the servers that are lost, for ever.
-pub async fn run<D: Codec>(relay: Arc<Relay<D>>) {
+/// Searches for the successors of lost servers until the task is aborted.
+pub async fn run<C: Codec>(relay: Arc<Relay<C>>) {
     loop {
-        relay.search_wanted.notified().await;
-        for backend in relay.take_searches() {
-            if !backend.searched() {
+        relay.search_requested.notified().await;
+        for backend in relay.take_pending_searches() {
+            if !backend.mark_searching() {
                 tokio::spawn(search(Arc::clone(&relay), backend));
             }
         }
     }
 }
 
-async fn search<D: Codec>(relay: Arc<Relay<D>>, backend: Arc<Backend>) {
+async fn search<C: Codec>(relay: Arc<Relay<C>>, backend: Arc<Backend>) {
     let began = relay.clock.now();
-    let mut questions = 0;
-    while questions < QUESTIONS {
-        let recent = relay.clock.now().saturating_sub(began) < WATCHED;
-        match relay.store_up() {
+    let mut probes = 0;
+    while probes < PROBE_LIMIT {
+        let recent = relay.clock.now().saturating_sub(began) < OUTAGE_WINDOW;
+        match relay.store_available() {
             true if !recent => break,
             true => {}
             false => {
-                questions += 1;
-                if look(&relay, &backend).await != Occupant::Nobody {
+                probes += 1;
+                if probe(&relay, &backend).await != Occupant::Nobody {
                     break;
                 }
             }
         }
         tokio::time::sleep(INTERVAL).await;
     }
-    backend.search_ended();
+    backend.end_search();
 }
 
-/// What answers at the address of a server.
+/// Which server responds at an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Occupant {
-    /// Nothing answers.
+    /// No server responds.
     Nobody,
-    /// The server itself.
+    /// The server that is known there.
     Same,
     /// Another server.
     Other,
 }
 
-/// Returns the server to send a stream to that was meant for `backend`: itself, or what has taken
-/// its place while the store is away, or nothing.
+/// Returns the server to send a stream to instead of `backend`: itself, its successor if the store
+/// is unavailable, or `None` if no server responds.
 ///
-/// The load that this answers: a failure domain's servers that crashed during an outage of the store
-/// have other names when the next one crashes and its streams move there. A send under the old name
-/// is refused, and each refusal takes a repeat from the service's budget; a question does not.
-pub async fn confirm<D: Codec>(relay: &Relay<D>, backend: &Arc<Backend>) -> Option<Arc<Backend>> {
-    if relay.store_up() || !backend.doubted() {
+/// If a failure domain's servers crash during an outage of the store, they have other names by the
+/// time the next failure domain crashes and its streams move there. A request under the old name is
+/// refused, and each refusal takes a retry from the service's budget; a probe does not.
+pub async fn confirm<C: Codec>(relay: &Relay<C>, backend: &Arc<Backend>) -> Option<Arc<Backend>> {
+    if relay.store_available() || !backend.unconfirmed() {
         return Some(Arc::clone(backend));
     }
-    match look(relay, backend).await {
+    match probe(relay, backend).await {
         Occupant::Same => {
-            relay.answered(backend);
+            relay.record_response(backend);
             Some(Arc::clone(backend))
         }
         Occupant::Other => relay.successor(backend),
@@ -90,15 +91,15 @@
     }
 }
 
-/// Asks once what answers at the address of a server.
-async fn look<D: Codec>(relay: &Relay<D>, backend: &Backend) -> Occupant {
+/// Probes the address of a server once, and adopts a successor of the same service.
+async fn probe<C: Codec>(relay: &Relay<C>, backend: &Backend) -> Occupant {
     let address = backend.server.address;
-    let asked = async {
-        let name = attempt::name(relay, address).await?;
-        let report = attempt::report(relay, address).await?;
+    let responses = async {
+        let name = attempt::fetch_name(relay, address).await?;
+        let report = attempt::fetch_report(relay, address).await?;
         Ok::<_, String>((name, report))
     };
-    let Ok(Ok((name, report))) = tokio::time::timeout(ANSWER_TIME, asked).await else {
+    let Ok(Ok((name, report))) = tokio::time::timeout(PROBE_TIMEOUT, responses).await else {
         return Occupant::Nobody;
     };
     if name == backend.server.id {
--- a/relay/src/state.rs
+++ b/relay/src/state.rs
@@ -1,4 +1,4 @@
-//! What the relay of one entry knows and holds.
+//! State of one entry's relay: settings, metrics, and its view of the store, servers and peers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,76 +26,76 @@
 mod view;
 
 pub use backend::Backend;
-pub use moves::{Ended, Sight};
-pub use placement::{Measure, Wanted};
-use view::Beliefs;
+pub use moves::{Measurement, MoveEnd};
+pub use placement::{Criteria, Measure};
+use view::View;
 
 /// Settings of the relay.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Name of this entry.
     pub entry: Arc<str>,
-    /// Failure domain that it runs in.
+    /// Failure domain of this entry.
     pub failure_domain: Arc<str>,
     /// Region of each failure domain.
     pub regions: HashMap<Arc<str>, Arc<str>>,
-    /// Memory for bodies that are held, in bytes.
+    /// Memory for request bodies, in bytes.
     pub held_bytes: usize,
-    /// Repeats that a service allows: a share of an entry's requests, and a reserve that all entries
+    /// Retry budget of each service: a share of an entry's requests, and a reserve that all entries
     /// divide.
     pub retries: Bounds,
-    /// What a version that a service moves to may get before it is proved.
+    /// Bounds on the requests that a new version gets before it is accepted.
     pub moves: canary::Bounds,
     /// Bounds on the silence of servers.
     pub liveness: liveness::Bounds,
-    /// Speed of the machine's link, in Mbit/s.
+    /// Capacity of the machine's network link, in Mbit/s.
     pub link_mbps: u32,
-    /// Where this entry takes messages of the others.
+    /// Address at which this entry receives messages of other entries.
     pub peer_address: Option<SocketAddr>,
-    /// Time from the order to stop until the process is ended.
+    /// Time from the stop signal until the process is killed.
     pub grace: Duration,
 }
 
 /// The relay of one entry.
 #[derive(Debug)]
-pub struct Relay<D> {
-    /// The outside protocol.
-    pub codec: D,
-    /// Settings.
+pub struct Relay<C> {
+    /// Translates the outside protocol.
+    pub codec: C,
+    /// Settings of this entry.
     pub settings: Settings,
-    /// The clock.
+    /// Clock of all times in the state.
     pub clock: Clock,
-    /// Counters.
+    /// Counters and histograms.
     pub metrics: Metrics,
-    /// Memory for bodies.
+    /// Memory budget for request bodies.
     pub memory: budget::Budget,
     /// Whether the entry is stopping.
     pub stopping: watch::Sender<bool>,
-    /// When the process ends, once it is stopping.
+    /// Time at which the process ends, set when it starts to stop.
     pub ends_at: OnceLock<Duration>,
     /// Whether callers' connections are being closed.
     pub draining: watch::Sender<bool>,
-    /// Tells of each change of configuration or servers.
+    /// Notifies of each change of configuration or servers.
     pub changed: watch::Sender<u64>,
-    /// Wakes the task that tells the other entries of this one's streams.
+    /// Wakes the task that sends this entry's state to the others.
     pub streams_changed: Notify,
-    /// Wakes the task that looks for what has taken the place of lost servers.
-    pub search_wanted: Notify,
-    /// Wakes the task that ends moves.
+    /// Wakes the task that searches for successors of lost servers.
+    pub search_requested: Notify,
+    /// Wakes the task that drives moves.
     pub moves_changed: Notify,
-    /// Whether this entry reads the store, and it answers.
-    pub reads: AtomicBool,
-    beliefs: Mutex<Beliefs>,
-    mirror: Mutex<Changelog>,
+    /// Whether this entry reads the store with success.
+    pub reads_store: AtomicBool,
+    view: Mutex<View>,
+    changelog: Mutex<Changelog>,
     catching_up: AtomicBool,
 }
 
-impl<D: Codec> Relay<D> {
-    /// Returns a relay that knows nothing yet.
+impl<C: Codec> Relay<C> {
+    /// Returns a relay without a configuration, servers or peers.
     #[must_use]
-    pub fn new(dialect: D, settings: Settings) -> Self {
+    pub fn new(codec: C, settings: Settings) -> Self {
         Self {
-            codec: dialect,
+            codec,
             memory: budget::Budget::new(settings.held_bytes),
             settings,
             clock: Clock::start(),
@@ -105,30 +105,33 @@
             draining: watch::Sender::new(false),
             changed: watch::Sender::new(0),
             streams_changed: Notify::new(),
-            search_wanted: Notify::new(),
+            search_requested: Notify::new(),
             moves_changed: Notify::new(),
-            reads: AtomicBool::new(false),
-            beliefs: Mutex::default(),
-            mirror: Mutex::default(),
+            reads_store: AtomicBool::new(false),
+            view: Mutex::default(),
+            changelog: Mutex::default(),
             catching_up: AtomicBool::new(false),
         }
     }
 
-    fn beliefs<T>(&self, act: impl FnOnce(&mut Beliefs) -> T) -> T {
-        act(&mut self.beliefs.lock().unwrap_or_else(PoisonError::into_inner))
+    fn view<T>(&self, act: impl FnOnce(&mut View) -> T) -> T {
+        act(&mut self.view.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Reads or changes what was last read in the store.
+    /// Reads or changes the log of the store's changes.
     pub fn changelog<T>(&self, act: impl FnOnce(&mut Changelog) -> T) -> T {
-        act(&mut self.mirror.lock().unwrap_or_else(PoisonError::into_inner))
+        act(&mut self
+            .changelog
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Returns whether this entry is catching up from a peer, and notes that it is.
+    /// Marks this entry as catching up from a peer; returns whether it already was.
     pub fn begin_catching_up(&self) -> bool {
         self.catching_up.swap(true, Ordering::Relaxed)
     }
 
-    /// Notes that this entry has caught up, or failed to.
+    /// Marks the end of catching up, with or without success.
     pub fn end_catching_up(&self) {
         self.catching_up.store(false, Ordering::Relaxed);
     }
@@ -136,31 +139,31 @@
     /// Returns the configuration in force.
     #[must_use]
     pub fn table(&self) -> Option<Arc<Table>> {
-        self.beliefs(|beliefs| beliefs.table.clone())
+        self.view(|view| view.table.clone())
     }
 
-    /// Returns whether the entry takes requests: it knows a configuration and is not stopping.
+    /// Returns whether the entry accepts requests: it has a configuration and is not stopping.
     #[must_use]
     pub fn ready(&self) -> bool {
-        !*self.stopping.borrow() && self.beliefs(|beliefs| beliefs.table.is_some())
+        !*self.stopping.borrow() && self.view(|view| view.table.is_some())
     }
 
-    /// Returns whether a request that may last `needs` would be cut by the end of the process.
+    /// Returns whether the process ends before a request of length `needs` could.
     #[must_use]
     pub fn ends_before(&self, needs: Duration) -> bool {
         let ends_at = self.ends_at.get();
         ends_at.is_some_and(|ends_at| *ends_at < self.clock.now() + needs)
     }
 
-    /// Puts a configuration in force, unless it is not newer than the one that is.
+    /// Puts a configuration in force if it is newer than the current one.
     pub fn configure(&self, table: Table) {
         let version = table.version;
         let now = self.clock.now();
-        let known = self.beliefs(|beliefs| {
-            let known = beliefs.table.as_ref().map(|table| table.version);
+        let known = self.view(|view| {
+            let known = view.table.as_ref().map(|table| table.version);
             if known.is_none_or(|known| version > known) {
-                beliefs.table = Some(Arc::new(table));
-                beliefs.table_at = now;
+                view.table = Some(Arc::new(table));
+                view.table_at = now;
             }
             known
         });
@@ -171,6 +174,6 @@
             .configuration
             .set(i64::try_from(version).unwrap_or(i64::MAX));
         log::info!(version, before = known.unwrap_or(0); "configuration in force");
-        self.tell();
+        self.notify_changed();
     }
 }
--- a/relay/src/state/backend.rs
+++ b/relay/src/state/backend.rs
@@ -1,4 +1,4 @@
-//! One server, with what this entry knows of it.
+//! One backend server as this entry sees it.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -12,45 +12,46 @@
 use crate::monitor::Monitor;
 
 use super::Settings;
-use super::placement::{Measure, Wanted};
+use super::placement::{Criteria, Measure};
 use super::view::Group;
 
-/// A server, with what this entry knows of it.
+/// A server with its load, monitor and search state.
 #[derive(Debug)]
 pub struct Backend {
-    /// As it announces itself.
+    /// The server's registration.
     pub server: Arc<Server>,
-    /// Watches it while it runs streams.
+    /// Monitors it while it runs streams of this entry.
     pub monitor: Monitor,
     hash: u64,
     pub(super) proximity: Proximity,
     load: Mutex<Load>,
-    searched: AtomicBool,
-    doubted: AtomicBool,
-    /// Streams of this entry that are at the server.
+    searching: AtomicBool,
+    unconfirmed: AtomicBool,
+    /// Number of streams of this entry at the server.
     pub streams: AtomicUsize,
 }
 
 impl Backend {
-    /// Returns whether a search for the server's next start has begun before, and begins it.
-    pub fn searched(&self) -> bool {
-        self.searched.swap(true, Ordering::Relaxed)
+    /// Marks a search for the server's successor as started; returns whether one was already
+    /// running.
+    pub fn mark_searching(&self) -> bool {
+        self.searching.swap(true, Ordering::Relaxed)
     }
 
-    /// Notes that a search has ended; the next loss begins another.
-    pub fn search_ended(&self) {
-        self.searched.store(false, Ordering::Relaxed);
+    /// Marks the search as ended; the next loss starts another.
+    pub fn end_search(&self) {
+        self.searching.store(false, Ordering::Relaxed);
     }
 
-    /// Returns whether the server, or its group, was lost and has not answered since.
+    /// Returns whether the server or its group was lost and it has not responded since.
     #[must_use]
-    pub fn doubted(&self) -> bool {
-        self.doubted.load(Ordering::Relaxed)
+    pub fn unconfirmed(&self) -> bool {
+        self.unconfirmed.load(Ordering::Relaxed)
     }
 
-    /// Notes that the server may have gone, or that it answered.
-    pub(super) fn set_doubted(&self, doubted: bool) {
-        self.doubted.store(doubted, Ordering::Relaxed);
+    /// Marks the server as possibly gone, or as confirmed by a response.
+    pub(super) fn set_unconfirmed(&self, unconfirmed: bool) {
+        self.unconfirmed.store(unconfirmed, Ordering::Relaxed);
     }
 
     /// Reads or changes the server's load.
@@ -74,14 +75,14 @@
             server,
             monitor: Monitor::default(),
             load: Mutex::default(),
-            searched: AtomicBool::new(false),
-            doubted: AtomicBool::new(false),
+            searching: AtomicBool::new(false),
+            unconfirmed: AtomicBool::new(false),
             streams: AtomicUsize::new(0),
         }
     }
 
-    /// Returns the hash of the server's name, and how near it is.
-    pub(super) fn place(&self) -> (u64, Proximity) {
+    /// Returns the hash of the server's name, and its proximity.
+    pub(super) fn hash_and_proximity(&self) -> (u64, Proximity) {
         (self.hash, self.proximity)
     }
 
@@ -92,8 +93,8 @@
         }
     }
 
-    pub(super) fn candidate(&self, now: Duration, wanted: Wanted, peers: Count) -> Candidate {
-        let requests = |load: &mut Load| match wanted.measure {
+    pub(super) fn candidate(&self, now: Duration, criteria: Criteria, peers: Count) -> Candidate {
+        let requests = |load: &mut Load| match criteria.measure {
             Measure::Calls { horizon } => load.estimate(now, horizon),
             Measure::Streams => load.stream_load(peers),
         };
--- a/relay/src/state/gauges.rs
+++ b/relay/src/state/gauges.rs
@@ -1,36 +1,36 @@
-//! What is measured when the metrics are asked for.
+//! Gauges that are computed when the metrics are scraped.
 
 use medlarfall_runtime::logging;
 
 use crate::codec::Codec;
-use crate::metrics::Figures;
+use crate::metrics::Gauges;
 
 use super::Relay;
 
-impl<D: Codec> Relay<D> {
-    /// Notes that the list of servers is whole as of now: this entry read the store, or a reader
-    /// told that nothing is newer.
+impl<C: Codec> Relay<C> {
+    /// Records that the list of servers is complete as of now: this entry read the store, or a peer
+    /// that reads it reported no newer revision.
     pub fn servers_known(&self) {
         let now = self.clock.now();
-        self.beliefs(|beliefs| beliefs.servers_at = now);
+        self.view(|view| view.servers_confirmed_at = now);
     }
 
-    /// Returns the metrics as text.
+    /// Returns the metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let now = self.clock.now();
-        let figures = self.beliefs(|beliefs| Figures {
-            configuration_age: now.saturating_sub(beliefs.table_at),
-            servers_age: now.saturating_sub(beliefs.servers_at),
+        let gauges = self.view(|view| Gauges {
+            configuration_age: now.saturating_sub(view.table_at),
+            servers_age: now.saturating_sub(view.servers_confirmed_at),
             held_bytes: self.memory.held(),
-            entries: beliefs.peers.len(),
-            servers: beliefs
+            entries: view.peers.len(),
+            servers: view
                 .backends
                 .iter()
                 .map(|(service, backends)| (service.to_string(), backends.len()))
                 .collect(),
         });
-        self.metrics.set(&figures, logging::lost());
+        self.metrics.set(&gauges, logging::lost());
         self.metrics.text()
     }
 }
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -1,4 +1,5 @@
-//! Moves of services to another version: which version a request goes to, and what its sends show.
+//! Moves of services to another version: which version a request goes to, and the measurements and
+//! peer reports that decide a move.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,59 +10,59 @@
 
 use crate::codec::Codec;
 
-use super::view::Beliefs;
+use super::view::View;
 use super::{Backend, Relay};
 
-/// Steps between 0 and 1 in which entries round what a new version may get.
+/// Steps between 0 and 1 of the offset at which an entry rounds a new version's share.
 const OFFSETS: u32 = 1_024;
 
-/// What one send showed.
+/// Measurements of one attempt.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Sight {
-    /// Whether it failed; nothing while it runs.
+pub struct Measurement {
+    /// Whether it failed; `None` while it runs.
     pub failed: Option<bool>,
-    /// Time to a stream's first event.
+    /// Time to the first event of a stream.
     pub first: Option<Duration>,
-    /// Mean time between a stream's events.
+    /// Mean time between the events of a stream.
     pub gap: Option<Duration>,
-    /// Time of a whole call.
+    /// Duration of a whole call.
     pub call: Option<Duration>,
 }
 
-/// A move whose end is to be recorded.
+/// An ended move whose end has not been recorded.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct MoveEnd {
     /// The service.
     pub service: Arc<str>,
-    /// The order.
+    /// The order of the move.
     pub order: Order,
-    /// Whether the new version serves.
+    /// Whether the new version was accepted.
     pub good: bool,
 }
 
-impl<D: Codec> Relay<D> {
-    /// Takes in the operators' order to move a service, or that it is withdrawn.
-    pub fn order_move(&self, service: &Arc<str>, order: Option<Order>) {
+impl<C: Codec> Relay<C> {
+    /// Applies the operators' order to move a service, or its withdrawal (`None`).
+    pub fn apply_move_order(&self, service: &Arc<str>, order: Option<Order>) {
         let now = self.clock.now();
         let Some(order) = order else {
-            let known = self.beliefs(|beliefs| beliefs.canaries.remove(service));
+            let known = self.view(|view| view.canaries.remove(service));
             if known.is_some() {
                 log::info!(service = &**service; "the order to move a service is withdrawn");
             }
             return;
         };
-        // An order that was there when this entry started may be of any age.
+        // An order that existed when this entry started may be of any age.
         let given_now = self.changelog(|changelog| changelog.revision()) > 0;
         let steps = u32::try_from(name_hash(&self.settings.entry) % u64::from(OFFSETS));
         let offset = f64::from(steps.unwrap_or(0)) / f64::from(OFFSETS);
-        let known = self.beliefs(|beliefs| {
-            let known = beliefs.canaries.get(service);
+        let known = self.view(|view| {
+            let known = view.canaries.get(service);
             let known = known.is_some_and(|canary| canary.order().revision >= order.revision);
             if !known {
                 let moves = self.settings.moves;
                 let canary = Canary::new(order.clone(), moves, offset, given_now, now);
-                beliefs.canaries.insert(Arc::clone(service), canary);
-                beliefs.recorded.remove(service);
+                view.canaries.insert(Arc::clone(service), canary);
+                view.recorded_moves.remove(service);
             }
             known
         });
@@ -76,14 +77,14 @@
         self.moves_changed.notify_one();
     }
 
-    /// Takes in the end of a move as the store has it.
-    pub fn move_recorded(&self, service: &Arc<str>, version: &str, good: bool, revision: u64) {
-        self.with_canary(service, |canary, beliefs| {
+    /// Applies the end of a move that is recorded in the store.
+    pub fn record_move_end(&self, service: &Arc<str>, version: &str, good: bool, revision: u64) {
+        self.with_canary(service, |canary, view| {
             let order = canary.order();
             if *order.version != *version || revision < order.revision {
                 return;
             }
-            beliefs.recorded.insert(Arc::clone(service));
+            view.recorded_moves.insert(Arc::clone(service));
             canary.record(if good {
                 Verdict::Good
             } else {
@@ -94,88 +95,93 @@
         });
     }
 
-    /// Counts a new request and returns the version it goes to, if its service moves.
+    /// Counts a new request and returns its cohort, if its service moves.
     #[must_use]
-    pub fn side(&self, service: &Arc<str>) -> Option<Side> {
+    pub fn assign_cohort(&self, service: &Arc<str>) -> Option<Side> {
         let now = self.clock.now();
-        let mut side = None;
-        self.with_canary(service, |canary, beliefs| {
-            let entries = u32::try_from(beliefs.peers.len() + 1).unwrap_or(u32::MAX);
-            side = canary.side(entries, now);
+        let mut cohort = None;
+        self.with_canary(service, |canary, view| {
+            let entries = u32::try_from(view.peers.len() + 1).unwrap_or(u32::MAX);
+            cohort = canary.side(entries, now);
         });
-        side
+        cohort
     }
 
-    /// Returns the version that a repeat of a request goes to, if its service moves.
+    /// Returns the cohort of a retry, if the service moves.
     #[must_use]
-    pub fn repeat_side(&self, service: &Arc<str>) -> Option<Side> {
+    pub fn assign_retry_cohort(&self, service: &Arc<str>) -> Option<Side> {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            let canary = beliefs.canaries.get(service);
+        self.view(|view| {
+            let canary = view.canaries.get(service);
             canary.and_then(|canary| canary.repeat_side(now))
         })
     }
 
-    /// Takes in what a send of a request of `route` to a server showed.
-    pub fn saw(&self, backend: &Backend, route: &Arc<str>, sight: Sight) {
+    /// Records the measurement of an attempt of `route` at a server.
+    pub fn record_measurement(
+        &self,
+        backend: &Backend,
+        route: &Arc<str>,
+        measurement: Measurement,
+    ) {
         let now = self.clock.now();
         let server = &backend.server;
-        self.with_canary(&server.service, |canary, beliefs| {
+        self.with_canary(&server.service, |canary, view| {
             let side = if canary.order().version == server.version {
                 Side::New
             } else {
                 Side::Old
             };
-            // A server is slow for a while after its start, whatever its version.
-            let cold = beliefs.cold.get(&server.id).is_some_and(|end| now < *end);
-            let time = |time: Option<Duration>| time.filter(|_| !cold);
+            // Timings of a server that is warming up are ignored, whatever its version.
+            let warming_up = view.warmups.get(&server.id).is_some_and(|end| now < *end);
+            let time = |time: Option<Duration>| time.filter(|_| !warming_up);
             let observation = Observation {
                 side,
                 route: Arc::clone(route),
-                failed: sight.failed,
-                first: time(sight.first),
-                gap: time(sight.gap),
-                call: time(sight.call),
+                failed: measurement.failed,
+                first: time(measurement.first),
+                gap: time(measurement.gap),
+                call: time(measurement.call),
             };
             canary.observe(observation, now);
         });
     }
 
-    /// Returns whether a move is under way whose end is not recorded.
+    /// Returns whether a move is in progress or its end is not recorded.
     #[must_use]
-    pub fn moving(&self) -> bool {
-        self.beliefs(|beliefs| {
-            let mut moves = beliefs.canaries.keys();
-            moves.any(|service| !beliefs.recorded.contains(service))
+    pub fn has_open_moves(&self) -> bool {
+        self.view(|view| {
+            let mut moves = view.canaries.keys();
+            moves.any(|service| !view.recorded_moves.contains(service))
         })
     }
 
-    /// Returns what this entry tells of the moves.
+    /// Returns this entry's reports on the moves, to be sent to peers.
     #[must_use]
     pub fn move_reports(&self) -> Vec<(Arc<str>, Report)> {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            let open = beliefs.canaries.iter();
-            let open = open.filter(|(service, _)| !beliefs.recorded.contains(*service));
+        self.view(|view| {
+            let open = view.canaries.iter();
+            let open = open.filter(|(service, _)| !view.recorded_moves.contains(*service));
             open.map(|(service, canary)| (Arc::clone(service), canary.report(now)))
                 .collect()
         })
     }
 
-    /// Takes in what another entry tells of the moves.
-    pub fn hear_moves(&self, peer: &Arc<str>, reports: Vec<(Arc<str>, Report)>) {
+    /// Applies a peer's reports on the moves.
+    pub fn receive_move_reports(&self, peer: &Arc<str>, reports: Vec<(Arc<str>, Report)>) {
         let now = self.clock.now();
         for (service, report) in reports {
             self.with_canary(&service, |canary, _| canary.hear(peer, report, now));
         }
     }
 
-    /// Ends the moves whose time has come; returns whether any is still open.
+    /// Ends the moves that are due; returns whether any end is not recorded yet.
     pub fn conclude_moves(&self) -> bool {
         let now = self.clock.now();
-        let open: Vec<Arc<str>> = self.beliefs(|beliefs| {
-            let open = beliefs.canaries.keys();
-            let open = open.filter(|service| !beliefs.recorded.contains(*service));
+        let open: Vec<Arc<str>> = self.view(|view| {
+            let open = view.canaries.keys();
+            let open = open.filter(|service| !view.recorded_moves.contains(*service));
             open.cloned().collect()
         });
         for service in &open {
@@ -186,14 +192,15 @@
         !open.is_empty()
     }
 
-    /// Returns the moves that have ended and whose end is not recorded.
+    /// Returns the ended moves whose end is not recorded.
     #[must_use]
-    pub fn unrecorded_moves(&self) -> Vec<Ended> {
-        self.beliefs(|beliefs| {
-            let canaries = beliefs.canaries.iter();
-            let unrecorded = canaries.filter(|(service, _)| !beliefs.recorded.contains(*service));
+    pub fn unrecorded_moves(&self) -> Vec<MoveEnd> {
+        self.view(|view| {
+            let canaries = view.canaries.iter();
+            let unrecorded =
+                canaries.filter(|(service, _)| !view.recorded_moves.contains(*service));
             let ended = unrecorded.filter_map(|(service, canary)| {
-                Some(Ended {
+                Some(MoveEnd {
                     service: Arc::clone(service),
                     order: canary.order().clone(),
                     good: *canary.verdict()? == Verdict::Good,
@@ -203,18 +210,19 @@
         })
     }
 
-    /// Reads or changes the move of a service, if there is one, and tells of its end.
-    fn with_canary(&self, service: &Arc<str>, act: impl FnOnce(&mut Canary, &mut Beliefs)) {
-        let ended = self.beliefs(|beliefs| {
-            // Taken out so that the rest stays in reach of `act`.
-            let mut canary = beliefs.canaries.remove(service)?;
+    /// Reads or changes the move of a service, if there is one; logs its end and notifies the
+    /// tasks.
+    fn with_canary(&self, service: &Arc<str>, act: impl FnOnce(&mut Canary, &mut View)) {
+        let ended = self.view(|view| {
+            // Removed for the time of the call, so that `act` can borrow the rest of the view.
+            let mut canary = view.canaries.remove(service)?;
             let before = canary.verdict().cloned();
-            act(&mut canary, beliefs);
+            act(&mut canary, view);
             let ended = canary
                 .verdict()
                 .filter(|after| Some(*after) != before.as_ref());
             let ended = ended.map(|verdict| (canary.order().clone(), verdict.clone()));
-            beliefs.canaries.insert(Arc::clone(service), canary);
+            view.canaries.insert(Arc::clone(service), canary);
             ended
         });
         let Some((order, verdict)) = ended else {
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -1,4 +1,4 @@
-//! What this entry tells the others, and what they tell it.
+//! State that entries exchange: what this entry sends to its peers, and what it receives from them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,129 +9,129 @@
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
 
-use crate::broadcast::Found;
+use crate::broadcast::Successor;
 use crate::codec::Codec;
 
 use super::Relay;
 use super::view::Peer;
 
-/// Entries to tell.
+/// Recipients of a message.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Audience {
-    /// Where they take messages.
+pub struct Recipients {
+    /// Addresses of the recipients.
     pub addresses: Vec<SocketAddr>,
-    /// Speed of the narrowest link among theirs and this entry's, in Mbit/s.
+    /// Capacity of the narrowest link of theirs and this entry's, in Mbit/s.
     pub link_mbps: u32,
 }
 
-impl<D: Codec> Relay<D> {
-    /// Returns the servers that this entry itself could not reach lately, as far as they are to be
-    /// told to `everyone` or to those nearby.
+impl<C: Codec> Relay<C> {
+    /// Returns the servers that this entry itself could not reach recently, as far as they are due
+    /// in a message to `everyone` or to its failure domain.
     #[must_use]
-    pub fn lost_to_tell(&self, everyone: bool) -> Vec<Arc<str>> {
+    pub fn unreachable_to_send(&self, everyone: bool) -> Vec<Arc<str>> {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            beliefs.lost.forget_old(now);
-            beliefs.lost.tell(everyone, now)
+        self.view(|view| {
+            view.unreachable.forget_old(now);
+            view.unreachable.tell(everyone, now)
         })
     }
 
-    /// Takes in the servers that another entry could not reach: one that this entry has not heard
-    /// of since either is put behind the others and looked for.
-    pub fn peer_lost(&self, lost: &[Arc<str>]) {
+    /// Applies a peer's list of unreachable servers. Those that this entry has had no response from
+    /// since are marked as suspect and searched for.
+    pub fn record_peer_unreachable(&self, lost: &[Arc<str>]) {
         if lost.is_empty() {
             return;
         }
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            for backend in beliefs.backends.values().flatten() {
+        self.view(|view| {
+            for backend in view.backends.values().flatten() {
                 let silent = || backend.load(|load| load.told_unreachable(now));
                 if lost.contains(&backend.server.id) && silent() {
-                    backend.set_doubted(true);
-                    beliefs.to_search.push(Arc::clone(backend));
+                    backend.set_unconfirmed(true);
+                    view.pending_searches.push(Arc::clone(backend));
                 }
             }
         });
-        self.search_wanted.notify_one();
+        self.search_requested.notify_one();
     }
 
-    /// Returns whether this entry repeated something that it has not told.
+    /// Returns whether this entry has made retries that it has not sent to its peers.
     #[must_use]
-    pub fn has_repeated(&self) -> bool {
-        self.beliefs(|beliefs| beliefs.retries_untold)
+    pub fn has_unsent_retries(&self) -> bool {
+        self.view(|view| view.retries_unsent)
     }
 
-    /// Returns what this entry repeated over the last span, by service, to be told.
+    /// Returns this entry's retry usage over the last span by service, and marks it as sent.
     #[must_use]
-    pub fn repeats_to_tell(&self) -> Vec<(Arc<str>, Usage)> {
+    pub fn take_retry_usage(&self) -> Vec<(Arc<str>, Usage)> {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            beliefs.retries_untold = false;
-            let windows = beliefs.retries.iter_mut();
+        self.view(|view| {
+            view.retries_unsent = false;
+            let windows = view.retries.iter_mut();
             let used = windows.map(|(service, window)| (Arc::clone(service), window.usage(now)));
             used.collect()
         })
     }
 
-    /// Takes in what another entry repeated.
-    pub fn peer_repeated(&self, peer: &Arc<str>, used: &[(Arc<str>, Usage)]) {
+    /// Records a peer's retry usage.
+    pub fn record_peer_retries(&self, peer: &Arc<str>, used: &[(Arc<str>, Usage)]) {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
+        self.view(|view| {
             for (service, usage) in used {
-                let others = beliefs.others_retries.entry(Arc::clone(service));
+                let others = view.peer_retries.entry(Arc::clone(service));
                 others.or_default().told(peer, *usage, now);
             }
         });
     }
 
-    /// Returns whether this entry has found servers that it has not told of.
+    /// Returns whether this entry has found successors that it has not sent to its peers.
     #[must_use]
-    pub fn has_found(&self) -> bool {
-        self.beliefs(|beliefs| beliefs.found.untold())
+    pub fn has_unsent_successors(&self) -> bool {
+        self.view(|view| view.successors.untold())
     }
 
-    /// Returns the servers that were found while the store is away, as far as they are to be told
-    /// to `everyone` or to those nearby.
+    /// Returns the successors that were found while the store is unavailable, as far as they are
+    /// due in a message to `everyone` or to this entry's failure domain.
     #[must_use]
-    pub fn found_to_tell(&self, everyone: bool) -> Vec<Found> {
+    pub fn successors_to_send(&self, everyone: bool) -> Vec<Successor> {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            if beliefs.roster.keeper_answers() {
-                beliefs.found.clear();
+        self.view(|view| {
+            if view.registry.keeper_answers() {
+                view.successors.clear();
             }
-            beliefs.found.tell(everyone, now)
+            view.successors.tell(everyone, now)
         })
     }
 
-    /// Takes in the servers that another entry found.
-    pub fn peer_found(&self, found: &[Found]) {
-        if self.store_up() {
+    /// Adds the successors that a peer found.
+    pub fn record_peer_successors(&self, successors: &[Successor]) {
+        if self.store_available() {
             return;
         }
-        for Found {
-            before,
-            now,
-            born_ms,
-        } in found
+        for Successor {
+            predecessor,
+            id,
+            started_ms,
+        } in successors
         {
-            let before = self.beliefs(|beliefs| beliefs.roster.get(before).cloned());
-            if let Some(before) = before {
-                self.adopt(&before, now, *born_ms, true);
+            let predecessor = self.view(|view| view.registry.get(predecessor).cloned());
+            if let Some(predecessor) = predecessor {
+                self.adopt(&predecessor, id, *started_ms, true);
             }
         }
     }
 
-    /// Takes in the address of another entry. One whose lease ended is kept while it tells
-    /// something: leases also end while the store is away.
-    pub fn peer(&self, name: &Arc<str>, address: Option<SocketAddr>) {
+    /// Records the address of a peer. A peer whose lease expired is kept, since leases also expire
+    /// during an outage of the store.
+    pub fn record_peer(&self, name: &Arc<str>, address: Option<SocketAddr>) {
         if *name == self.settings.entry {
             return;
         }
         let Some(address) = address else {
             return;
         };
-        let known = self.beliefs(|beliefs| {
-            let peer = beliefs.peers.entry(Arc::clone(name)).or_insert(Peer {
+        let known = self.view(|view| {
+            let peer = view.peers.entry(Arc::clone(name)).or_insert(Peer {
                 address,
                 failure_domain: None,
                 link_mbps: None,
@@ -144,8 +144,8 @@
         }
     }
 
-    /// Takes in where another entry runs and whether it reads the store with success.
-    pub fn peer_reads(
+    /// Records a peer's failure domain, link, and whether it reads the store with success.
+    pub fn record_peer_reader(
         &self,
         name: &Arc<str>,
         failure_domain: &Arc<str>,
@@ -153,69 +153,70 @@
         reads: bool,
     ) {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            if let Some(peer) = beliefs.peers.get_mut(name) {
+        self.view(|view| {
+            if let Some(peer) = view.peers.get_mut(name) {
                 peer.failure_domain = Some(Arc::clone(failure_domain));
                 peer.link_mbps = Some(link_mbps);
             }
             let own = &self.settings;
-            let unheard = || Readers::new(&own.entry, own.link_mbps);
-            let readers = beliefs.readers.get_or_insert_with(unheard);
+            let new_election = || Readers::new(&own.entry, own.link_mbps);
+            let readers = view.reader_election.get_or_insert_with(new_election);
             readers.told(name, link_mbps, reads, now);
         });
     }
 
-    /// Returns whether another entry reads the store with success.
+    /// Returns whether a peer reads the store with success.
     #[must_use]
     pub fn others_read(&self) -> bool {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            let readers = beliefs.readers.as_ref();
+        self.view(|view| {
+            let readers = view.reader_election.as_ref();
             readers.is_some_and(|readers| readers.others_read(now))
         })
     }
 
-    /// Returns whether this entry has to read the store, for itself and for others.
+    /// Returns whether this entry has to read the store for all.
     #[must_use]
     pub fn must_read(&self) -> bool {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            let readers = beliefs.readers.as_ref();
+        self.view(|view| {
+            let readers = view.reader_election.as_ref();
             readers.is_none_or(|readers| readers.must_read(now))
         })
     }
 
-    /// Returns the entries to tell: `everyone`, or those not known to run elsewhere.
+    /// Returns the recipients of a message: `everyone`, or the peers not known to run in another
+    /// failure domain.
     #[must_use]
-    pub fn audience(&self, everyone: bool) -> Audience {
+    pub fn recipients(&self, everyone: bool) -> Recipients {
         let own = Some(&self.settings.failure_domain);
-        self.beliefs(|beliefs| {
-            let peers = beliefs.peers.values();
+        self.view(|view| {
+            let peers = view.peers.values();
             let told = peers.filter(|peer| {
                 everyone || peer.failure_domain.is_none() || peer.failure_domain.as_ref() == own
             });
             let told: Vec<&Peer> = told.collect();
             let links = told.iter().filter_map(|peer| peer.link_mbps);
-            Audience {
+            Recipients {
                 addresses: told.iter().map(|peer| peer.address).collect(),
                 link_mbps: links.fold(self.settings.link_mbps, u32::min),
             }
         })
     }
 
-    /// Takes in what another entry has at each server.
-    pub fn peer_told(&self, peer: Arc<str>, counts: HashMap<Arc<str>, Count>) {
+    /// Records a peer's streams at each server.
+    pub fn record_peer_streams(&self, peer: Arc<str>, counts: HashMap<Arc<str>, Count>) {
         let now = self.clock.now();
-        self.beliefs(|beliefs| beliefs.shared.told(peer, counts, now));
+        self.view(|view| view.peer_load.told(peer, counts, now));
     }
 
-    /// Returns the streams of this entry at each server: all, and those whose prompt is read.
+    /// Returns this entry's streams at each server: the server, all streams, and those in prefill.
     #[must_use]
     pub fn own_streams(&self) -> Vec<(Arc<str>, u32, u32)> {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            beliefs.shared.expire(now);
-            let backends = beliefs.backends.values().flatten();
+        self.view(|view| {
+            view.peer_load.expire(now);
+            let backends = view.backends.values().flatten();
             let counted = backends.filter_map(|backend| {
                 let count = backend.load(|load| load.streams());
                 let streams = backend.streams.load(Ordering::Relaxed);
--- a/relay/src/state/placement.rs
+++ b/relay/src/state/placement.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to, and what its sends show.
+//! Chooses the server of a request, and records failed and successful contacts with servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,66 +10,68 @@
 
 use super::{Backend, Relay};
 
-/// Most servers of a group that one entry looks for at once; entries tell one another of finds, and
-/// thousands of questions a second would fill the links of a large fleet.
-const SEARCHED: usize = 8;
+/// Most servers of a group that one entry searches for at once. Entries share the servers that they
+/// find, and thousands of probes a second would fill the links of a large fleet.
+const SEARCH_LIMIT: usize = 8;
 
-/// How a server's load is counted.
+/// How a server's load is measured.
 #[derive(Clone, Copy, Debug)]
 pub enum Measure {
-    /// By calls: this entry's, and those of others from reports that fade over `horizon`.
+    /// By calls: those of this entry, and those of others from server reports whose weight decays
+    /// over `horizon`.
     Calls {
-        /// About how long a call lasts.
+        /// Usual duration of a call.
         horizon: Duration,
     },
-    /// By streams, of this entry and of its peers.
+    /// By streams of this entry and of its peers.
     Streams,
 }
 
-/// What to look for in a server.
+/// Criteria for the choice of a server.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'request> {
+pub struct Criteria<'request> {
     /// The service.
     pub service: &'request str,
-    /// Servers that are not to be chosen.
-    pub not: &'request [Arc<str>],
-    /// Failure domains that are not to be chosen while others have servers.
-    pub outside: &'request [Arc<str>],
-    /// Load, in requests, that a server in another failure domain counts for.
-    pub distance: f64,
-    /// How load is counted.
+    /// Servers that are excluded.
+    pub excluded: &'request [Arc<str>],
+    /// Failure domains that are avoided while others have servers.
+    pub avoided_domains: &'request [Arc<str>],
+    /// Load, in requests, that is added to servers in another failure domain.
+    pub remote_penalty: f64,
+    /// How load is measured.
     pub measure: Measure,
-    /// Version to prefer, if the service moves.
-    pub side: Option<Side>,
-    /// The only version to choose from, if the service moves.
+    /// Preferred version cohort, if the service moves.
+    pub cohort: Option<Side>,
+    /// The only acceptable version, if the service moves.
     pub version: Option<&'request str>,
-    /// Breaks ties.
-    pub lot: u64,
+    /// Hash that breaks ties.
+    pub request_hash: u64,
 }
 
-impl<D: Codec> Relay<D> {
-    /// Notes that a server could not be reached, or was lost. It is looked for anew, with the
-    /// others of its group if they can't be reached either.
+impl<C: Codec> Relay<C> {
+    /// Records that a server could not be reached or was lost, and starts a search for its
+    /// successor. If its whole group is unreachable, the other members are searched for as well.
     pub fn record_unreachable(&self, backend: &Arc<Backend>) {
         let now = self.clock.now();
         backend.load(|load| load.unreachable(now));
-        backend.set_doubted(true);
+        backend.set_unconfirmed(true);
         let id = &backend.server.id;
         let group = backend.group();
-        let suspect = self.beliefs(|beliefs| {
-            let suspect = beliefs.groups.failed(group.clone(), id, now);
-            beliefs.to_search.push(Arc::clone(backend));
-            beliefs.lost.insert(Arc::clone(id), now);
+        let suspect = self.view(|view| {
+            let suspect = view.groups.failed(group.clone(), id, now);
+            view.pending_searches.push(Arc::clone(backend));
+            view.unreachable.insert(Arc::clone(id), now);
             if suspect {
-                let all = beliefs.backends.get(&group.service).into_iter().flatten();
+                let all = view.backends.get(&group.service).into_iter().flatten();
                 let members = all.filter(|other| other.group() == group);
-                let members = members.inspect(|other| other.set_doubted(true));
+                let members = members.inspect(|other| other.set_unconfirmed(true));
                 let members: Vec<Arc<Backend>> = members.cloned().collect();
-                beliefs.to_search.extend(members.into_iter().take(SEARCHED));
+                view.pending_searches
+                    .extend(members.into_iter().take(SEARCH_LIMIT));
             }
             suspect
         });
-        self.search_wanted.notify_one();
+        self.search_requested.notify_one();
         self.streams_changed.notify_one();
         if suspect {
             log::warn!(
@@ -80,113 +82,121 @@
         }
     }
 
-    /// Takes the servers that are to be looked for.
-    pub fn take_searches(&self) -> Vec<Arc<Backend>> {
-        self.beliefs(|beliefs| std::mem::take(&mut beliefs.to_search))
+    /// Removes and returns the servers whose successors are to be searched for.
+    pub fn take_pending_searches(&self) -> Vec<Arc<Backend>> {
+        self.view(|view| std::mem::take(&mut view.pending_searches))
     }
 
-    /// Notes that a server answered.
-    pub fn answered(&self, backend: &Backend) {
+    /// Records a response of a server.
+    pub fn record_response(&self, backend: &Backend) {
         let now = self.clock.now();
-        backend.monitor.heard(now);
-        backend.set_doubted(false);
+        backend.monitor.record_activity(now);
+        backend.set_unconfirmed(false);
         let group = backend.group();
-        self.beliefs(|beliefs| beliefs.groups.answered(&group));
+        self.view(|view| view.groups.answered(&group));
     }
 
-    /// Returns the servers of a service that are not suspect and probably took a request with the
-    /// lot `lot` before, at most `count`.
+    /// Returns up to `count` servers of a service that are not suspect and probably received
+    /// earlier requests with the hash `request_hash`.
     #[must_use]
-    pub fn likely_servers(&self, service: &str, lot: u64, count: usize) -> Vec<Arc<Backend>> {
+    pub fn likely_servers(
+        &self,
+        service: &str,
+        request_hash: u64,
+        count: usize,
+    ) -> Vec<Arc<Backend>> {
         let now = self.clock.now();
-        let usable: Vec<Arc<Backend>> = self.beliefs(|beliefs| {
-            let backends = beliefs.backends.get(service).into_iter().flatten();
+        let usable: Vec<Arc<Backend>> = self.view(|view| {
+            let backends = view.backends.get(service).into_iter().flatten();
             let usable = backends.filter(|backend| !backend.load(|load| load.suspect(now)));
             usable.cloned().collect()
         });
-        let places = usable.iter().map(|backend| backend.place());
-        let likely = balance::likely(&places.collect::<Vec<_>>(), lot, count);
+        let servers = usable.iter().map(|backend| backend.hash_and_proximity());
+        let likely = balance::likely(&servers.collect::<Vec<_>>(), request_hash, count);
         let likely = likely.into_iter().map(|index| Arc::clone(&usable[index]));
         likely.collect()
     }
 
     /// Chooses a server.
     #[must_use]
-    pub fn choose(&self, wanted: Wanted) -> Option<Arc<Backend>> {
+    pub fn choose(&self, criteria: Criteria) -> Option<Arc<Backend>> {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            let backends = beliefs.backends.get(wanted.service)?;
-            let moves_to = beliefs.canaries.get(wanted.service);
+        self.view(|view| {
+            let backends = view.backends.get(criteria.service)?;
+            let moves_to = view.canaries.get(criteria.service);
             let moves_to = moves_to.map(|canary| Arc::clone(&canary.order().version));
-            let allowed = |backend: &&Arc<Backend>, side: Option<Side>| {
+            let allowed = |backend: &&Arc<Backend>, cohort: Option<Side>| {
                 let version = &backend.server.version;
-                let fits = match (&moves_to, side, wanted.version) {
+                let fits = match (&moves_to, cohort, criteria.version) {
                     (None, ..) | (Some(_), None, None) => true,
                     (Some(_), _, Some(only)) => **version == *only,
-                    (Some(target), Some(side), _) => (version == target) == (side == Side::New),
+                    (Some(target), Some(cohort), _) => (version == target) == (cohort == Side::New),
                 };
-                fits && !wanted.not.contains(&backend.server.id)
+                fits && !criteria.excluded.contains(&backend.server.id)
             };
-            // The old version serves where no server of the new one can.
+            // Falls back to the old version if no server of the new one is available.
             let new_serves = || {
                 backends
                     .iter()
-                    .any(|backend| allowed(&backend, wanted.side))
+                    .any(|backend| allowed(&backend, criteria.cohort))
             };
-            let side = match wanted.side {
+            let cohort = match criteria.cohort {
                 Some(Side::New) if !new_serves() => Some(Side::Old),
-                side => side,
+                cohort => cohort,
             };
-            let fits = |backend: &&Arc<Backend>| allowed(backend, side);
-            let outside = |backend: &&Arc<Backend>| {
-                !wanted.outside.contains(&backend.server.failure_domain)
+            let fits = |backend: &&Arc<Backend>| allowed(backend, cohort);
+            let preferred = |backend: &&Arc<Backend>| {
+                !criteria
+                    .avoided_domains
+                    .contains(&backend.server.failure_domain)
                     && !backend.load(|load| load.suspect(now))
-                    && !beliefs.groups.suspect(&backend.group(), now)
+                    && !view.groups.suspect(&backend.group(), now)
             };
             let mut fitting: Vec<&Arc<Backend>> =
-                backends.iter().filter(fits).filter(outside).collect();
+                backends.iter().filter(fits).filter(preferred).collect();
             if fitting.is_empty() {
                 fitting = backends.iter().filter(fits).collect();
             }
             let candidates: Vec<Candidate> = fitting
                 .iter()
                 .map(|backend| {
-                    let peers = beliefs.shared.at(&backend.server.id);
-                    backend.candidate(now, wanted, peers)
+                    let peers = view.peer_load.at(&backend.server.id);
+                    backend.candidate(now, criteria, peers)
                 })
                 .collect();
-            let chosen = balance::choose(&candidates, wanted.distance, wanted.lot)?;
+            let chosen =
+                balance::choose(&candidates, criteria.remote_penalty, criteria.request_hash)?;
             Some(Arc::clone(fitting[chosen]))
         })
     }
 
-    /// Returns the load of streams at a server, in prompts that are read.
+    /// Returns the load of streams at a server, in prompts in prefill.
     #[must_use]
     pub fn stream_load(&self, backend: &Backend) -> f64 {
-        let peers = self.beliefs(|beliefs| beliefs.shared.at(&backend.server.id));
+        let peers = self.view(|view| view.peer_load.at(&backend.server.id));
         backend.load(|load| load.stream_load(peers))
     }
 
-    /// Counts a request for a service, which adds to its budget of repeats.
+    /// Counts a request for a service, which adds to its retry budget.
     pub fn count_request(&self, service: &Arc<str>) {
         let now = self.clock.now();
         let bounds = self.settings.retries;
-        self.beliefs(|beliefs| beliefs.repeats(service, bounds).request(now));
+        self.view(|view| view.retry_window(service, bounds).request(now));
     }
 
-    /// Takes a repeat from the budget of a service and returns whether there was one.
+    /// Withdraws a retry from the budget of a service; returns whether there was one.
     #[must_use]
     pub fn take_retry(&self, service: &Arc<str>) -> bool {
         let now = self.clock.now();
         let bounds = self.settings.retries;
-        let taken = self.beliefs(|beliefs| {
-            let part = beliefs.reserve(bounds);
-            let entries = u32::try_from(beliefs.peers.len()).unwrap_or(u32::MAX);
-            let others = beliefs.others_retries.remove(service).unwrap_or_default();
-            let window = beliefs.repeats(service, bounds);
+        let taken = self.view(|view| {
+            let part = view.reserve(bounds);
+            let entries = u32::try_from(view.peers.len()).unwrap_or(u32::MAX);
+            let others = view.peer_retries.remove(service).unwrap_or_default();
+            let window = view.retry_window(service, bounds);
             let taken = window.withdraw(part, &others, entries, now);
-            beliefs.others_retries.insert(Arc::clone(service), others);
-            beliefs.retries_untold |= taken;
+            view.peer_retries.insert(Arc::clone(service), others);
+            view.retries_unsent |= taken;
             taken
         });
         if taken {
--- a/relay/src/state/servers.rs
+++ b/relay/src/state/servers.rs
@@ -1,4 +1,4 @@
-//! Which servers there are.
+//! Registration, removal and replacement of servers in this entry's view.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -6,148 +6,149 @@
 
 use medlarfall_coordination::roster::{Effect, Server};
 
-use crate::broadcast::Found;
+use crate::broadcast::Successor;
 use crate::codec::Codec;
 
 use super::{Backend, Relay};
 
-impl<D: Codec> Relay<D> {
-    /// Takes in what a server announced, and how much longer it is slow after its start.
-    pub fn announce(&self, server: Server, cold: Duration, revision: u64) {
+impl<C: Codec> Relay<C> {
+    /// Applies a server's registration; `warmup` is its remaining warm-up time.
+    pub fn register_server(&self, server: Server, warmup: Duration, revision: u64) {
         let id = Arc::clone(&server.id);
         let now = self.clock.now();
-        let effect = self.beliefs(|beliefs| {
-            beliefs.cold.retain(|_, end| now < *end);
-            if !cold.is_zero() {
-                beliefs.cold.insert(Arc::clone(&id), now + cold);
+        let effect = self.view(|view| {
+            view.warmups.retain(|_, end| now < *end);
+            if !warmup.is_zero() {
+                view.warmups.insert(Arc::clone(&id), now + warmup);
             }
-            let effect = beliefs.roster.announce(server, revision);
+            let effect = view.registry.announce(server, revision);
             if effect != Effect::Stale {
-                beliefs.forget_unlisted();
-                beliefs.refresh(&self.settings, &id);
+                view.remove_unlisted();
+                view.update_backends(&self.settings, &id);
             }
             effect
         });
-        self.believed(effect, &id, revision);
+        self.registry_changed(effect, &id, revision);
     }
 
-    /// Takes in that a server's entry was removed.
-    pub fn remove(&self, id: &Arc<str>, revision: u64) {
+    /// Applies the removal of a server's registration.
+    pub fn remove_server(&self, id: &Arc<str>, revision: u64) {
         let now = self.clock.now();
-        let effect = self.beliefs(|beliefs| {
-            let effect = beliefs.roster.remove(id, revision, now);
-            beliefs.refresh(&self.settings, id);
+        let effect = self.view(|view| {
+            let effect = view.registry.remove(id, revision, now);
+            view.update_backends(&self.settings, id);
             effect
         });
-        self.believed(effect, id, revision);
+        self.registry_changed(effect, id, revision);
     }
 
-    /// Takes in that a complete list read at `revision` named only `listed`.
-    pub fn retain(&self, listed: &HashSet<Arc<str>>, revision: u64) {
+    /// Applies a complete listing: `listed` are the servers registered at `revision`.
+    pub fn retain_servers(&self, listed: &HashSet<Arc<str>>, revision: u64) {
         let now = self.clock.now();
-        self.beliefs(|beliefs| {
-            beliefs.roster.retain(listed, revision, now);
-            beliefs.refresh_all(&self.settings);
+        self.view(|view| {
+            view.registry.retain(listed, revision, now);
+            view.update_all_backends(&self.settings);
         });
-        self.tell();
+        self.notify_changed();
     }
 
-    /// Notes whether the store answers, and drops servers that did not come back after an outage.
-    pub fn set_store_available(&self, answers: bool) {
+    /// Records whether the store is available, and drops servers that did not return after an
+    /// outage.
+    pub fn set_store_available(&self, available: bool) {
         let now = self.clock.now();
-        let expired = self.beliefs(|beliefs| {
-            if answers {
-                beliefs.roster.keeper_answered(now);
+        let expired = self.view(|view| {
+            if available {
+                view.registry.keeper_answered(now);
             } else {
-                beliefs.roster.keeper_lost();
+                view.registry.keeper_lost();
             }
-            let expired = beliefs.roster.expire(now);
+            let expired = view.registry.expire(now);
             for id in &expired {
-                beliefs.refresh(&self.settings, id);
+                view.update_backends(&self.settings, id);
             }
             expired
         });
         for id in &expired {
-            self.believed(Effect::Gone, id, 0);
+            self.registry_changed(Effect::Gone, id, 0);
         }
     }
 
-    pub(super) fn believed(&self, effect: Effect, id: &str, revision: u64) {
+    pub(super) fn registry_changed(&self, effect: Effect, id: &str, revision: u64) {
         if effect == Effect::Stale {
             return;
         }
         let effect = format!("{effect:?}").to_lowercase();
         log::info!(server = id, revision, effect = effect.as_str(); "list of servers changed");
-        self.tell();
+        self.notify_changed();
     }
 
-    pub(super) fn tell(&self) {
+    pub(super) fn notify_changed(&self) {
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Takes in a server that was found in place of `gone`, while the store does not answer; `heard`
-    /// from another entry, or by this one.
-    pub fn adopt(&self, gone: &Server, id: &Arc<str>, born_ms: Option<u64>, heard: bool) {
+    /// Adds a server that was found in place of `gone` while the store is unavailable, by this
+    /// entry or, if `from_peer`, by another one.
+    pub fn adopt(&self, gone: &Server, id: &Arc<str>, started_ms: Option<u64>, from_peer: bool) {
         let now = self.clock.now();
         let server = Server {
             id: Arc::clone(id),
             leaving: false,
-            born_ms,
+            born_ms: started_ms,
             ..gone.clone()
         };
-        let effect = self.beliefs(|beliefs| {
-            let effect = beliefs.roster.adopt(server);
-            let found = Found {
-                before: Arc::clone(&gone.id),
-                now: Arc::clone(id),
-                born_ms,
+        let effect = self.view(|view| {
+            let effect = view.registry.adopt(server);
+            let found = Successor {
+                predecessor: Arc::clone(&gone.id),
+                id: Arc::clone(id),
+                started_ms,
             };
             match effect {
                 Effect::Stale => {}
-                _ if heard => beliefs.found.insert_heard(found),
-                _ => beliefs.found.insert(found, now),
+                _ if from_peer => view.successors.insert_heard(found),
+                _ => view.successors.insert(found, now),
             }
-            beliefs.forget_unlisted();
-            beliefs.refresh(&self.settings, id);
+            view.remove_unlisted();
+            view.update_backends(&self.settings, id);
             effect
         });
-        if !heard {
+        if !from_peer {
             self.streams_changed.notify_one();
         }
-        self.believed(effect, id, 0);
+        self.registry_changed(effect, id, 0);
     }
 
-    /// Returns the server that has taken the place of `gone`.
+    /// Returns the server that has replaced `gone` at its address.
     #[must_use]
     pub fn successor(&self, gone: &Backend) -> Option<Arc<Backend>> {
         let server = &gone.server;
-        self.beliefs(|beliefs| {
-            let backends = beliefs.backends.get(&server.service)?;
-            let mut there = backends.iter();
-            let there = there.find(|other| other.server.address == server.address)?;
-            (there.server.id != server.id).then(|| Arc::clone(there))
+        self.view(|view| {
+            let backends = view.backends.get(&server.service)?;
+            let mut others = backends.iter();
+            let successor = others.find(|other| other.server.address == server.address)?;
+            (successor.server.id != server.id).then(|| Arc::clone(successor))
         })
     }
 
-    /// Returns whether the store answers.
+    /// Returns whether the store is available.
     #[must_use]
-    pub fn store_up(&self) -> bool {
-        self.beliefs(|beliefs| beliefs.roster.keeper_answers())
+    pub fn store_available(&self) -> bool {
+        self.view(|view| view.registry.keeper_answers())
     }
 
-    /// Returns whether a server is still as it was when it was chosen: it neither leaves, nor has
-    /// gone, nor has another start taken its address.
+    /// Returns whether a server is still listed as it was when it was chosen, and is not suspect.
     #[must_use]
-    pub fn current(&self, backend: &Arc<Backend>) -> bool {
+    pub fn is_current(&self, backend: &Arc<Backend>) -> bool {
         let now = self.clock.now();
-        self.listed(backend) && !backend.load(|load| load.suspect(now))
+        self.is_listed(backend) && !backend.load(|load| load.suspect(now))
     }
 
-    /// Returns whether a server is still listed as it was when it was chosen.
+    /// Returns whether a server is still listed as it was when it was chosen, and no other server
+    /// has its address.
     #[must_use]
-    pub fn listed(&self, backend: &Arc<Backend>) -> bool {
-        self.beliefs(|beliefs| {
-            let mut all = beliefs.backends.values().flatten();
+    pub fn is_listed(&self, backend: &Arc<Backend>) -> bool {
+        self.view(|view| {
+            let mut all = view.backends.values().flatten();
             let mut listed = false;
             all.all(|other| {
                 listed |= Arc::ptr_eq(other, backend);
