--- a/relay/src/state/view.rs
+++ b/relay/src/state/view.rs
@@ -1,4 +1,4 @@
-//! What this entry believes of configuration, servers and other entries.
+//! This entry's view of the configuration, the servers and the other entries.
 
 use medlarfall_coordination::canary::Canary;
 use medlarfall_coordination::outage::Groups;
@@ -13,57 +13,57 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::broadcast::Found;
+use crate::broadcast::Successor;
 
 use super::{Backend, Settings};
 
-/// Entries among which a reserve of repeats is divided at least: one that has just started may not
-/// know the others yet.
-const FEWEST_ENTRIES: u32 = 5;
+/// Least number of entries that a reserve of retries is divided by: an entry that has just started
+/// may not know the others yet.
+const MIN_ENTRIES: u32 = 5;
 
-/// Least reserve of repeats of one entry, so that one loss is always made good.
-const LEAST_RESERVE: f64 = 3.0;
+/// Least reserve of retries of one entry, so that a single loss can always be retried.
+const MIN_RESERVE: f64 = 3.0;
 
-/// What is believed of configuration and servers.
+/// The view, behind the lock of [`super::Relay`].
 #[derive(Debug, Default)]
-pub(super) struct Beliefs {
+pub(super) struct View {
     pub(super) table: Option<Arc<Table>>,
-    /// When the configuration in force was learnt.
+    /// When the configuration in force was received.
     pub(super) table_at: Duration,
-    /// When the list of servers was last known to be whole.
-    pub(super) servers_at: Duration,
-    pub(super) roster: Roster,
+    /// When the list of servers was last known to be complete.
+    pub(super) servers_confirmed_at: Duration,
+    pub(super) registry: Roster,
     pub(super) backends: HashMap<Arc<str>, Vec<Arc<Backend>>>,
     pub(super) retries: HashMap<Arc<str>, Window>,
-    /// What the other entries repeated, by service.
-    pub(super) others_retries: HashMap<Arc<str>, Others>,
-    /// Whether this entry repeated something that it has not told.
-    pub(super) retries_untold: bool,
-    /// The last move of each service that was ordered.
+    /// Retry usage of the peers, by service.
+    pub(super) peer_retries: HashMap<Arc<str>, Others>,
+    /// Whether this entry has made retries that it has not sent to its peers.
+    pub(super) retries_unsent: bool,
+    /// The last ordered move of each service.
     pub(super) canaries: HashMap<Arc<str>, Canary>,
-    /// Services whose last move has an end in the store.
-    pub(super) recorded: HashSet<Arc<str>>,
-    /// Until when servers that started lately are slow.
-    pub(super) cold: HashMap<Arc<str>, Duration>,
+    /// Services whose last move has a recorded end.
+    pub(super) recorded_moves: HashSet<Arc<str>>,
+    /// End of the warm-up of recently started servers.
+    pub(super) warmups: HashMap<Arc<str>, Duration>,
     pub(super) groups: Groups<Group>,
     pub(super) peers: HashMap<Arc<str>, Peer>,
-    pub(super) readers: Option<Readers>,
-    pub(super) shared: shared_load::Table,
-    pub(super) to_search: Vec<Arc<Backend>>,
-    /// Servers that were found in place of others while the store is away.
-    pub(super) found: Tidings<Found>,
-    /// Servers that this entry could not reach lately.
-    pub(super) lost: Tidings<Arc<str>>,
+    pub(super) reader_election: Option<Readers>,
+    pub(super) peer_load: shared_load::Table,
+    pub(super) pending_searches: Vec<Arc<Backend>>,
+    /// Successors of lost servers, found while the store is unavailable.
+    pub(super) successors: Tidings<Successor>,
+    /// Servers that this entry could not reach recently.
+    pub(super) unreachable: Tidings<Arc<str>>,
 }
 
 /// Another entry.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) struct Peer {
-    /// Where it takes messages.
+    /// Address at which it receives messages.
     pub(super) address: SocketAddr,
-    /// Failure domain that it runs in, once it has told.
+    /// Failure domain that it runs in; `None` until its first message.
     pub(super) failure_domain: Option<Arc<str>>,
-    /// Speed of its machine's link, in Mbit/s; nothing until it has told.
+    /// Capacity of its machine's link, in Mbit/s; `None` until its first message.
     pub(super) link_mbps: Option<u32>,
 }
 
@@ -74,23 +74,23 @@
     pub(super) failure_domain: Arc<str>,
 }
 
-impl Beliefs {
-    /// Returns the repeats of a service.
-    pub(super) fn repeats(&mut self, service: &Arc<str>, bounds: Bounds) -> &mut Window {
+impl View {
+    /// Returns the retry window of a service.
+    pub(super) fn retry_window(&mut self, service: &Arc<str>, bounds: Bounds) -> &mut Window {
         let window = self.retries.entry(Arc::clone(service));
         window.or_insert_with(|| Window::new(bounds))
     }
 
-    /// Returns this entry's part of a reserve of repeats.
+    /// Returns this entry's part of a reserve of retries.
     pub(super) fn reserve(&self, bounds: Bounds) -> f64 {
         let entries = u32::try_from(self.peers.len() + 1).unwrap_or(u32::MAX);
-        let part = bounds.reserve / f64::from(entries.max(FEWEST_ENTRIES));
-        part.max(LEAST_RESERVE)
+        let part = bounds.reserve / f64::from(entries.max(MIN_ENTRIES));
+        part.max(MIN_RESERVE)
     }
 
-    /// Brings the backends in line with what the roster says of one server.
-    pub(super) fn refresh(&mut self, settings: &Settings, id: &Arc<str>) {
-        let known = self.roster.get(id).filter(|server| !server.leaving);
+    /// Updates the backends from the registration of one server.
+    pub(super) fn update_backends(&mut self, settings: &Settings, id: &Arc<str>) {
+        let known = self.registry.get(id).filter(|server| !server.leaving);
         for backends in self.backends.values_mut() {
             backends.retain(|backend| {
                 backend.server.id != *id || known.is_some_and(|known| *known == backend.server)
@@ -108,24 +108,24 @@
         }
     }
 
-    /// Drops the backends that the roster no longer lists.
-    pub(super) fn forget_unlisted(&mut self) {
-        let roster = &self.roster;
+    /// Drops the backends that are no longer registered.
+    pub(super) fn remove_unlisted(&mut self) {
+        let registry = &self.registry;
         for backends in self.backends.values_mut() {
-            backends.retain(|backend| roster.get(&backend.server.id).is_some());
+            backends.retain(|backend| registry.get(&backend.server.id).is_some());
         }
     }
 
-    /// Brings the backends in line with the whole roster.
-    pub(super) fn refresh_all(&mut self, settings: &Settings) {
-        self.forget_unlisted();
+    /// Updates the backends from all registrations.
+    pub(super) fn update_all_backends(&mut self, settings: &Settings) {
+        self.remove_unlisted();
         let ids: Vec<Arc<str>> = self
-            .roster
+            .registry
             .iter()
             .map(|server| Arc::clone(&server.id))
             .collect();
         for id in &ids {
-            self.refresh(settings, id);
+            self.update_backends(settings, id);
         }
     }
 }
--- a/relay/src/store_watch.rs
+++ b/relay/src/store_watch.rs
@@ -1,8 +1,8 @@
-//! Follows configuration and servers in the store.
+//! Watches configuration, servers, moves and peers in the store.
 //!
-//! One listing, then one watch over all that is of interest. What the store no longer says is
-//! kept: an outage changes no belief. The watch is bounded in time, since a connection may fall
-//! silent for good.
+//! Lists all keys once, then watches them with long polls. Nothing that is known is dropped while
+//! the store is unavailable. Each watch is bounded in time, since a connection can fall silent
+//! without an error.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -20,105 +20,105 @@
 use crate::state::Relay;
 
 /// Longest time that a watch waits for changes. A configuration has to be in force within 2 s of
-/// its acceptance, also when a watch has fallen silent: with the time for an answer and another call
-/// after it that takes 1.7 s.
+/// its acceptance, even if a watch falls silent. This time, the response timeout and another call
+/// add up to 1.7 s.
 const WATCH_TIME: Duration = Duration::from_millis(1_200);
 
-/// Time beyond its own that a call may take until it is given up.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+/// Time that a call may take on top of its own wait.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time between two looks at whether this entry has to read.
+/// Time between two checks whether this entry has to read the store.
 const READER_CHECK: Duration = Duration::from_millis(100);
 
-/// Pause after an answer, in which further changes gather: servers that fail together come back
-/// together, and each answer is paid for.
+/// Pause after a response, so that the next one carries several changes: servers that fail together
+/// are restarted together, and each store call has a cost.
 const COALESCE: Duration = Duration::from_millis(30);
 
-/// Where the follower is.
+/// Position of this entry in the store's history.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Place {
-    /// Nothing is known.
+enum Position {
+    /// Nothing has been read.
     Unknown,
-    /// The history of the changes after what is known is gone.
-    Behind,
+    /// The store no longer has the changes after the last known revision.
+    Compacted,
     /// All changes up to this revision are known.
     At(u64),
 }
 
-impl Place {
-    /// Returns the later one of this place and a revision up to which all is known.
+impl Position {
+    /// Returns the later one of this position and a revision up to which all changes are known.
     fn at_least(self, revision: u64) -> Self {
         match self {
-            Self::At(place) => Self::At(place.max(revision)),
+            Self::At(position) => Self::At(position.max(revision)),
             Self::Unknown if revision > 0 => Self::At(revision),
-            Self::Unknown | Self::Behind => self,
+            Self::Unknown | Self::Compacted => self,
         }
     }
 }
 
-/// Follows the store for ever.
-pub async fn run<D: Codec, S: Store>(relay: Arc<Relay<D>>, store: S) {
-    let mut place = Place::Unknown;
-    let mut up = None;
+/// Watches the store until the task is aborted.
+pub async fn run<C: Codec, S: Store>(relay: Arc<Relay<C>>, store: S) {
+    let mut position = Position::Unknown;
+    let mut last_available = None;
     let mut failures = 0_u32;
     loop {
         if !relay.must_read() {
-            relay.reads.store(false, Ordering::Relaxed);
-            // Readers answer for the store.
+            relay.reads_store.store(false, Ordering::Relaxed);
+            // The store counts as available while other entries read it.
             relay.set_store_available(true);
             tokio::time::sleep(READER_CHECK).await;
             continue;
         }
-        // Others may have told of changes that this entry did not read itself.
-        place = place.at_least(relay.changelog(|mirror| mirror.revision()));
+        // Peers may have sent changes that this entry has not read itself.
+        position = position.at_least(relay.changelog(|changelog| changelog.revision()));
         relay.metrics.store_calls.inc();
-        let (next, reason) = match step(&relay, &store, place).await {
+        let (next, reason) = match step(&relay, &store, position).await {
             Ok(next) => (next, None),
-            Err(Error::HistoryGone) => (Place::Behind, None),
-            Err(error) => (place, Some(error.to_string())),
+            Err(Error::HistoryGone) => (Position::Compacted, None),
+            Err(error) => (position, Some(error.to_string())),
         };
-        place = next;
-        let answers = reason.is_none();
-        // Where the store turns only this entry away, others answer for it.
+        position = next;
+        let available = reason.is_none();
+        // If the store refuses only this entry, it counts as available through the others.
         let others_read = relay.others_read();
-        relay.set_store_available(answers || others_read);
-        relay.reads.store(answers, Ordering::Relaxed);
-        if up != Some(answers) {
-            tell(&relay, answers, reason.as_deref().unwrap_or(""));
-            up = Some(answers);
+        relay.set_store_available(available || others_read);
+        relay.reads_store.store(available, Ordering::Relaxed);
+        if last_available != Some(available) {
+            record_store_state(&relay, available, reason.as_deref().unwrap_or(""));
+            last_available = Some(available);
         }
-        if answers {
+        if available {
             relay.servers_known();
             failures = 0;
             relay.streams_changed.notify_one();
             tokio::time::sleep(COALESCE).await;
         } else {
             failures = failures.saturating_add(1);
-            // Spread, so that entries do not ask again at the same moment.
+            // Jitter, so that entries do not retry at the same moment.
             let part = rand::rng().random_range(0.5..=1.0);
             tokio::time::sleep(retry_pause(failures, others_read).mul_f64(part)).await;
         }
     }
 }
 
-fn tell<D: Codec>(relay: &Relay<D>, answers: bool, reason: &str) {
-    relay.metrics.store_up.set(i64::from(answers));
-    if answers {
+fn record_store_state<C: Codec>(relay: &Relay<C>, available: bool, reason: &str) {
+    relay.metrics.store_up.set(i64::from(available));
+    if available {
         log::info!(dependency = "store"; "the store answers");
     } else {
         log::warn!(dependency = "store", reason; "the store does not answer");
     }
 }
 
-/// Makes one call and takes in what it returns.
-async fn step<D: Codec, S: Store>(
-    relay: &Relay<D>,
+/// Makes one store call and applies the returned changes.
+async fn step<C: Codec, S: Store>(
+    relay: &Relay<C>,
     store: &S,
-    place: Place,
-) -> Result<Place, Error> {
-    match place {
-        Place::Unknown | Place::Behind => {
-            let listing = within(Duration::ZERO, store.list("")).await?;
+    position: Position,
+) -> Result<Position, Error> {
+    match position {
+        Position::Unknown | Position::Compacted => {
+            let listing = with_timeout(Duration::ZERO, store.list("")).await?;
             let mut listed = HashSet::new();
             for item in listing.items {
                 if let Some(id) = relay.codec.server_id(&item.key) {
@@ -131,30 +131,30 @@
                 };
                 apply(relay, &change);
             }
-            relay.retain(&listed, listing.revision);
-            relay.changelog(|mirror| mirror.mark_complete(listing.revision));
-            Ok(Place::At(listing.revision))
+            relay.retain_servers(&listed, listing.revision);
+            relay.changelog(|changelog| changelog.mark_complete(listing.revision));
+            Ok(Position::At(listing.revision))
         }
-        Place::At(revision) => {
+        Position::At(revision) => {
             let watching = store.watch("", revision, WATCH_TIME);
-            let Changes { changes, revision } = within(WATCH_TIME, watching).await?;
-            // Changes of an outage come with the first answer after it.
+            let Changes { changes, revision } = with_timeout(WATCH_TIME, watching).await?;
+            // The first response after an outage carries the changes made during it.
             relay.set_store_available(true);
             for change in &changes {
                 apply(relay, change);
             }
-            relay.changelog(|mirror| mirror.mark_complete(revision));
-            Ok(Place::At(revision))
+            relay.changelog(|changelog| changelog.mark_complete(revision));
+            Ok(Position::At(revision))
         }
     }
 }
 
-/// Bounds a call that may itself wait for `wait`.
-pub(crate) async fn within<T>(
+/// Bounds a call that itself waits up to `wait`.
+pub(crate) async fn with_timeout<T>(
     wait: Duration,
     call: impl Future<Output = Result<T, Error>>,
 ) -> Result<T, Error> {
-    let call = timeout(wait + ANSWER_TIME, call).await;
+    let call = timeout(wait + RESPONSE_TIMEOUT, call).await;
     call.unwrap_or_else(|_| {
         Err(Error::Lost {
             reason: "no answer in time".to_owned(),
@@ -162,34 +162,33 @@
     })
 }
 
-/// Takes in the changes after a revision that another entry read.
-pub fn take_news<D: Codec>(relay: &Relay<D>, after: u64, news: &Changes) {
-    let own = relay.changelog(|mirror| mirror.revision());
-    if own == 0 || news.revision <= own {
+/// Applies changes after a revision that a peer read.
+pub fn apply_updates<C: Codec>(relay: &Relay<C>, after: u64, updates: &Changes) {
+    let own = relay.changelog(|changelog| changelog.revision());
+    if own == 0 || updates.revision <= own {
         return;
     }
-    for change in &news.changes {
+    for change in &updates.changes {
         apply(relay, change);
     }
     if after <= own {
-        relay.changelog(|mirror| mirror.mark_complete(news.revision));
+        relay.changelog(|changelog| changelog.mark_complete(updates.revision));
     }
 }
 
-/// Takes in one change.
-pub fn apply<D: Codec>(relay: &Relay<D>, change: &Change) {
-    relay.changelog(|mirror| mirror.insert(change));
+/// Applies one change.
+pub fn apply<C: Codec>(relay: &Relay<C>, change: &Change) {
+    relay.changelog(|changelog| changelog.insert(change));
     match relay.codec.decode_record(change) {
         Ok(Record::Configuration(table)) => relay.configure(table),
-        Ok(Record::Server {
-            server,
-            warmup: cold,
-        }) => relay.announce(server, cold, change.revision),
+        Ok(Record::Server { server, warmup }) => {
+            relay.register_server(server, warmup, change.revision)
+        }
         Ok(Record::ServerRemoved { id, problem }) => {
             if let Some(problem) = problem {
-                log::warn!(server = &*id, problem = problem.as_str(); "entry names no server");
+                log::warn!(server = &*id, problem = problem.as_str(); "registration of a server not decoded");
             }
-            relay.remove(&id, change.revision);
+            relay.remove_server(&id, change.revision);
         }
         Ok(Record::Move { service, order }) => {
             let revision = change.revision;
@@ -198,14 +197,14 @@
                 revision,
                 lasts,
             });
-            relay.order_move(&service, order);
+            relay.apply_move_order(&service, order);
         }
         Ok(Record::MoveEnd {
             service,
             version,
             good,
-        }) => relay.move_recorded(&service, &version, good, change.revision),
-        Ok(Record::Peer { name, address }) => relay.peer(&name, address),
+        }) => relay.record_move_end(&service, &version, good, change.revision),
+        Ok(Record::Peer { name, address }) => relay.record_peer(&name, address),
         Ok(Record::Other) => {}
         Err(invalid) => {
             log::error!(
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -1,8 +1,8 @@
-//! Answers streams: hands on events as they come, and goes on at another server when the one that
-//! makes them is lost.
+//! Handles streams: forwards events as they arrive, and resumes at another server when the server
+//! that makes them is lost.
 //!
-//! Each run that may be resumed has a backup copy of its memory on a server of another failure
-//! domain from its start, so that going on costs no second reading of the prompt.
+//! Each run of a resumable stream has a backup of its KV cache on a server of another failure
+//! domain from its start, so that a resume needs no second prefill.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,61 +13,61 @@
 
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::{self, Answer, Failure};
-use crate::backup::Keeper;
+use crate::backup::Replacement;
 use crate::codec::{Backup, Codec, Dispatch};
 use crate::ingress::Job;
 use crate::metrics::Open;
 use crate::monitor::{self, Subscription};
 use crate::prompt_cache;
 use crate::rediscover;
-use crate::state::{Backend, Measure, Relay, Sight, Wanted};
+use crate::state::{Backend, Criteria, Measure, Measurement, Relay};
 
-use self::meter::Probe;
-use self::occupancy::Place;
+use self::meter::Meter;
+use self::occupancy::Occupancy;
 
 mod backups;
 mod forwarding;
 mod meter;
 mod occupancy;
 
-/// Load, in runs, that a server in another failure domain counts for.
-const DISTANCE: f64 = 1.0;
+/// Load, in streams, that is added to servers in another failure domain.
+const REMOTE_PENALTY: f64 = 1.0;
 
-/// Longest wait for the first event of a send at a server that lives, after which its connection
-/// is taken for dead. Reading a prompt takes a second or two, and that of others before it as long.
-const FIRST_EVENT: Duration = Duration::from_secs(5);
+/// Longest wait for the first event of an attempt at a live server; after it the connection counts
+/// as dead. Prefill takes one or two seconds, and prefill of queued prompts as long again.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// When a request may come back that found no server, or only full ones.
+/// Retry delay when no server is available or all are at capacity.
 const NO_SERVER_PAUSE: Duration = Duration::from_millis(300);
 
-/// Longest wait for a server of the service to be known, as a part of the target latency.
-const SERVER_WAIT_PART: u32 = 8;
+/// Longest wait for a server to become known, as a fraction (1/n) of the target latency.
+const SERVER_WAIT_FRACTION: u32 = 8;
 
-/// Sends that reached no server, or that servers refused, in a row until the search ends.
-const REFUSALS: u32 = 6;
+/// Consecutive attempts that reached no server or were refused by one, after which the search ends.
+const REFUSAL_LIMIT: u32 = 6;
 
-/// A run at a server.
-struct Run<D: Codec> {
+/// A run of the stream at a server.
+struct Run<C: Codec> {
     backend: Arc<Backend>,
     subscription: Subscription,
-    place: Place<D>,
-    /// Shows what the run says of the server's version.
-    probe: Probe,
+    occupancy: Occupancy<C>,
+    /// Measures the run, for the comparison of versions.
+    meter: Meter,
 }
 
-/// A stream that is being answered.
-struct Stream<D: Codec> {
-    relay: Arc<Relay<D>>,
+/// State of a stream over its runs.
+struct Stream<C: Codec> {
+    relay: Arc<Relay<C>>,
     job: Job,
     last_event: Option<u64>,
-    lost: Vec<Arc<str>>,
-    lost_domain: Option<Arc<str>>,
+    excluded: Vec<Arc<str>>,
+    avoided_domain: Option<Arc<str>>,
     backup: Option<Arc<Backend>>,
-    keeper: Option<Keeper>,
-    begun: bool,
-    /// Whether a server may be at work on a send whose outcome is not known.
-    offered: bool,
-    paid: bool,
+    replacement: Option<Replacement>,
+    has_events: bool,
+    /// Whether an attempt's outcome is unknown: a server may be processing it.
+    in_flight: bool,
+    retry_withdrawn: bool,
     arrivals: u32,
     ran: u32,
     resumes: u32,
@@ -75,23 +75,23 @@
     first_event_at: Option<Duration>,
     last_event_at: Duration,
     longest_pause: Duration,
-    /// Counts the stream as open.
+    /// Counts the stream as open until it is dropped.
     _open: Open,
 }
 
-/// A server's answer, and the run that makes it.
-struct Opened<D: Codec> {
-    run: Run<D>,
+/// A server's response, and the run behind it.
+struct Opened<C: Codec> {
+    run: Run<C>,
     answer: Answer,
 }
 
-/// Answers a stream.
-pub async fn answer<D: Codec>(relay: &Arc<Relay<D>>, job: Job) -> Response<Content> {
+/// Handles a stream.
+pub async fn answer<C: Codec>(relay: &Arc<Relay<C>>, job: Job) -> Response<Content> {
     let deadline = relay.clock.instant(job.deadline);
     let mut stream = Stream::new(Arc::clone(relay), job);
     let opened = tokio::time::timeout_at(deadline, stream.open()).await;
     let opened = opened.unwrap_or_else(|_| {
-        let reason = if stream.ran > 0 || stream.offered {
+        let reason = if stream.ran > 0 || stream.in_flight {
             Reason::TimedOut
         } else {
             Reason::TooLate
@@ -107,17 +107,17 @@
     }
 }
 
-impl<D: Codec> Stream<D> {
-    fn new(relay: Arc<Relay<D>>, job: Job) -> Self {
+impl<C: Codec> Stream<C> {
+    fn new(relay: Arc<Relay<C>>, job: Job) -> Self {
         Self {
-            last_event: job.caller.last_event,
-            lost: Vec::new(),
-            lost_domain: None,
+            last_event: job.head.last_event,
+            excluded: Vec::new(),
+            avoided_domain: None,
             backup: None,
-            keeper: None,
-            begun: false,
-            offered: false,
-            paid: false,
+            replacement: None,
+            has_events: false,
+            in_flight: false,
+            retry_withdrawn: false,
             arrivals: 0,
             ran: 0,
             resumes: 0,
@@ -135,127 +135,134 @@
         self.job.route.kind == Kind::ResumableStream
     }
 
-    /// Returns whether the service's servers keep backup copies.
+    /// Returns whether the stream has backups: it is resumable and its servers support them.
     fn backups(&self) -> bool {
         let service = self.job.table.service(&self.job.service);
         self.resumable() && service.is_some_and(|service| service.backups)
     }
 
-    fn wanted<'this>(&'this self, outside: &'this [Arc<str>]) -> Wanted<'this> {
-        Wanted {
+    fn criteria<'this>(&'this self, avoided_domains: &'this [Arc<str>]) -> Criteria<'this> {
+        Criteria {
             service: &self.job.service,
-            not: &self.lost,
-            outside,
-            distance: DISTANCE,
+            excluded: &self.excluded,
+            avoided_domains,
+            remote_penalty: REMOTE_PENALTY,
             measure: Measure::Streams,
-            side: if self.arrivals == 0 && self.lost.is_empty() {
-                self.job.side
+            cohort: if self.arrivals == 0 && self.excluded.is_empty() {
+                self.job.cohort
             } else {
-                self.relay.repeat_side(&self.job.service)
+                self.relay.assign_retry_cohort(&self.job.service)
             },
             version: None,
-            lot: self.job.lot(),
+            request_hash: self.job.request_hash(),
         }
     }
 
-    /// Opens the stream at a server, or at several in turn.
-    async fn open(&mut self) -> Result<Opened<D>, Refusal> {
+    /// Opens the stream at a server; tries several in turn if needed.
+    async fn open(&mut self) -> Result<Opened<C>, Refusal> {
         let mut refusals = 0;
-        let mut holder = self.prompt_holder().await;
+        let mut cache_holder = self.find_cache_holder().await;
         loop {
-            let found = holder.take().map(|backend| (backend, None));
+            let found = cache_holder.take().map(|backend| (backend, None));
             let cached = found.is_some();
             let next = match found {
                 Some(found) => Some(found),
                 None => self.next().await,
             };
-            let (chosen, copy) = next.ok_or_else(|| self.refusal())?;
-            let Some(backend) = self.confirm(&chosen, copy.as_ref()).await else {
+            let (chosen, resume_from) = next.ok_or_else(|| self.refusal())?;
+            let Some(backend) = self.confirm_server(&chosen, resume_from.as_ref()).await else {
                 refusals += 1;
-                if refusals >= REFUSALS {
+                if refusals >= REFUSAL_LIMIT {
                     return Err(self.refusal());
                 }
                 continue;
             };
-            if !self.pay() {
+            if !self.withdraw_retry() {
                 return Err(match self.ran {
-                    0 => Refusal::come_back(Reason::RetryBudget, NO_SERVER_PAUSE),
+                    0 => Refusal::with_retry(Reason::RetryBudget, NO_SERVER_PAUSE),
                     _ => Refusal::new(Reason::Lost),
                 });
             }
-            match self.send(&backend, copy, cached).await {
+            match self.send(&backend, resume_from, cached).await {
                 Ok(opened) => return Ok(opened),
                 Err(failure) => {
-                    self.note(&backend, &failure);
+                    self.record_failed_attempt(&backend, &failure);
                     refusals += 1;
                 }
             }
-            if refusals >= REFUSALS || (self.ran > 0 && !self.may_repeat()) {
+            if refusals >= REFUSAL_LIMIT || (self.ran > 0 && !self.may_retry()) {
                 return Err(self.refusal());
             }
         }
     }
 
-    /// Returns the server that a send goes to that was meant for `chosen`, unless nothing is there, or
-    /// the run's copy has gone with the server that held it.
-    async fn confirm(
+    /// Returns the server to send to instead of `chosen`: itself or its successor. Returns `None`
+    /// if no server responds, or if a successor lacks the backup to resume from.
+    async fn confirm_server(
         &mut self,
         chosen: &Arc<Backend>,
-        copy: Option<&Backup>,
+        resume_from: Option<&Backup>,
     ) -> Option<Arc<Backend>> {
-        let there = rediscover::confirm(&self.relay, chosen).await;
-        let same = |there: &Arc<Backend>| there.server.id == chosen.server.id;
-        let there = there.filter(|there| same(there) || copy.is_none());
-        if there.is_none() {
-            self.lost.push(Arc::clone(&chosen.server.id));
+        let confirmed = rediscover::confirm(&self.relay, chosen).await;
+        let same = |confirmed: &Arc<Backend>| confirmed.server.id == chosen.server.id;
+        let confirmed = confirmed.filter(|confirmed| same(confirmed) || resume_from.is_none());
+        if confirmed.is_none() {
+            self.excluded.push(Arc::clone(&chosen.server.id));
         }
-        there
+        confirmed
     }
 
-    /// Returns the server that has read the prompt of a stream that its caller goes on with.
-    async fn prompt_holder(&self) -> Option<Arc<Backend>> {
+    /// Returns the server with the prompt in its cache, if the caller resumes a stream.
+    async fn find_cache_holder(&self) -> Option<Arc<Backend>> {
         let first = self.arrivals == 0 && self.resumable();
-        let resumed = self.job.caller.last_event.filter(|_| first);
-        let part = resumed.and(self.job.caller.last_part.as_deref())?;
+        let resumed = self.job.head.last_event.filter(|_| first);
+        let part = resumed.and(self.job.head.last_part.as_deref())?;
         let request_id = &self.job.original.request_id;
-        let lot = self.job.lot();
-        prompt_cache::holder(&self.relay, &self.job.service, request_id, part, lot).await
+        let request_hash = self.job.request_hash();
+        prompt_cache::find_holder(
+            &self.relay,
+            &self.job.service,
+            request_id,
+            part,
+            request_hash,
+        )
+        .await
     }
 
-    /// Takes a repeat from the budget for each arrival at a server after the first.
-    fn pay(&mut self) -> bool {
-        self.paid |= self.arrivals == 0 || self.relay.take_retry(&self.job.service);
-        self.paid
+    /// Withdraws a retry from the budget for each arrival at a server after the first.
+    fn withdraw_retry(&mut self) -> bool {
+        self.retry_withdrawn |= self.arrivals == 0 || self.relay.take_retry(&self.job.service);
+        self.retry_withdrawn
     }
 
-    /// Notes that the request arrived at a server.
-    fn arrived(&mut self) {
+    /// Records that the request arrived at a server.
+    fn record_arrival(&mut self) {
         self.arrivals += 1;
-        self.paid = false;
+        self.retry_withdrawn = false;
     }
 
-    fn may_repeat(&self) -> bool {
+    fn may_retry(&self) -> bool {
         self.resumable() && self.ran < self.job.route.attempts
     }
 
     fn refusal(&self) -> Refusal {
         match self.ran {
-            0 => Refusal::come_back(Reason::NoServer, NO_SERVER_PAUSE),
+            0 => Refusal::with_retry(Reason::NoServer, NO_SERVER_PAUSE),
             _ => Refusal::new(Reason::Lost),
         }
     }
 
-    /// Notes a send that failed.
-    fn note(&mut self, backend: &Arc<Backend>, failure: &Failure) {
-        self.lost.push(Arc::clone(&backend.server.id));
-        self.offered = false;
+    /// Records and logs a failed attempt.
+    fn record_failed_attempt(&mut self, backend: &Arc<Backend>, failure: &Failure) {
+        self.excluded.push(Arc::clone(&backend.server.id));
+        self.in_flight = false;
         match failure {
             Failure::NotSent { .. } => {}
-            Failure::NotRun { .. } => self.arrived(),
+            Failure::NotRun { .. } => self.record_arrival(),
             Failure::Lost { .. } => {
-                self.arrived();
+                self.record_arrival();
                 self.ran += 1;
-                self.lost_domain = Some(Arc::clone(&backend.server.failure_domain));
+                self.avoided_domain = Some(Arc::clone(&backend.server.failure_domain));
             }
         }
         log::info!(
@@ -266,52 +273,53 @@
         );
     }
 
-    /// Chooses the next server: the one with the run's copy, else any; waits a little for one
-    /// where none is known.
+    /// Chooses the next server: the holder of the run's backup, or else any. Waits a short while if
+    /// none is known.
     async fn next(&mut self) -> Option<(Arc<Backend>, Option<Backup>)> {
-        if let Some(copied) = self.take_copy() {
-            return Some(copied);
+        if let Some(resumed) = self.take_backup() {
+            return Some(resumed);
         }
-        let lost_domain: Vec<Arc<str>> = self.lost_domain.iter().cloned().collect();
-        if let Some(backend) = self.relay.choose(self.wanted(&lost_domain)) {
+        let avoided_domain: Vec<Arc<str>> = self.avoided_domain.iter().cloned().collect();
+        if let Some(backend) = self.relay.choose(self.criteria(&avoided_domain)) {
             return Some((backend, None));
         }
-        // All that are known have failed: they may be back by now.
-        self.lost.clear();
-        let wait = self.job.route.target_latency / SERVER_WAIT_PART;
-        let wanted = self.wanted(&[]);
+        // All known servers have failed the stream; they may have recovered.
+        self.excluded.clear();
+        let wait = self.job.route.target_latency / SERVER_WAIT_FRACTION;
+        let criteria = self.criteria(&[]);
         let mut changed = self.relay.changed.subscribe();
-        let known = changed.wait_for(|_| self.relay.choose(wanted).is_some());
+        let known = changed.wait_for(|_| self.relay.choose(criteria).is_some());
         let _ = tokio::time::timeout(wait, known).await;
-        Some((self.relay.choose(wanted)?, None))
+        Some((self.relay.choose(criteria)?, None))
     }
 
-    /// Notes that a server failed the stream while it lived.
-    fn failed_at(&self, backend: &Backend) {
-        let sight = Sight {
+    /// Records a failure of a live server for the comparison of versions.
+    fn record_server_failure(&self, backend: &Backend) {
+        let measurement = Measurement {
             failed: Some(true),
-            ..Sight::default()
+            ..Measurement::default()
         };
-        self.relay.saw(backend, &self.job.route.name, sight);
+        self.relay
+            .record_measurement(backend, &self.job.route.name, measurement);
     }
 
-    /// Sends the request to a server, which may have its prompt in its cache, and waits for the head
-    /// of its answer.
+    /// Sends the request to a server and waits for the head of its response. `cached` says that the
+    /// server may have the prompt in its cache.
     async fn send(
         &mut self,
         backend: &Arc<Backend>,
-        copy: Option<Backup>,
+        resume_from: Option<Backup>,
         cached: bool,
-    ) -> Result<Opened<D>, Failure> {
+    ) -> Result<Opened<C>, Failure> {
         let began = self.relay.clock.now();
         let backup = self.choose_backup(backend);
-        let send = Dispatch {
+        let dispatch = Dispatch {
             server: Arc::clone(&backend.server),
             account: self.job.account.as_ref().map(|a| Arc::clone(&a.name)),
             priority: self.job.priority(),
             remaining: self.job.deadline.saturating_sub(began),
             backup_target: backup.as_ref().map(|backup| backup.server.address),
-            resume_from: copy,
+            resume_from,
             last_event: self.last_event,
         };
         log::info!(
@@ -319,44 +327,44 @@
             failure_domain = &*backend.server.failure_domain,
             load = self.relay.stream_load(backend), own = backend.load(|load| load.own()),
             backup = backup.as_ref().map_or("", |backup| &*backup.server.id),
-            copy = send.resume_from.as_ref().map_or("", |copy| &*copy.handle),
+            copy = dispatch.resume_from.as_ref().map_or("", |backup| &*backup.handle),
             last_event = self.last_event.unwrap_or(0);
             "stream sent"
         );
-        let reading = !cached && send.resume_from.is_none();
-        let place = Place::take(&self.relay, backend, reading);
+        let prefilling = !cached && dispatch.resume_from.is_none();
+        let occupancy = Occupancy::start(&self.relay, backend, prefilling);
         let mut subscription = monitor::subscribe(&self.relay, backend);
         let relay = Arc::clone(&self.relay);
-        let silent = Instant::now() + FIRST_EVENT;
-        self.offered = true;
+        let timeout = Instant::now() + FIRST_EVENT_TIMEOUT;
+        self.in_flight = true;
         let answer = tokio::select! {
-            answer = attempt::send(&relay, backend, &self.job.original, &send) => answer,
-            () = subscription.lost() => lost("the server was lost"),
-            () = tokio::time::sleep_until(silent) => {
-                self.failed_at(backend);
-                lost("no answer, though the server lives")
+            answer = attempt::send(&relay, backend, &self.job.original, &dispatch) => answer,
+            () = subscription.lost() => lost_answer("the server was lost"),
+            () = tokio::time::sleep_until(timeout) => {
+                self.record_server_failure(backend);
+                lost_answer("no response from a live server in time")
             }
         };
         if let Ok(answer) = &answer {
             if answer.response.status().is_server_error() {
-                self.failed_at(backend);
+                self.record_server_failure(backend);
             }
             self.backup = backup;
-            self.begun = false;
+            self.has_events = false;
         }
         Ok(Opened {
             answer: answer?,
             run: Run {
                 backend: Arc::clone(backend),
                 subscription,
-                place,
-                probe: Probe::new(began),
+                occupancy,
+                meter: Meter::new(began),
             },
         })
     }
 }
 
-fn lost(reason: &str) -> Result<Answer, Failure> {
+fn lost_answer(reason: &str) -> Result<Answer, Failure> {
     Err(Failure::Lost {
         reason: reason.to_owned(),
     })
--- a/relay/src/stream/backups.rs
+++ b/relay/src/stream/backups.rs
@@ -1,73 +1,75 @@
-//! The backup copy of a run's memory: where it is made, and when it is used.
+//! Backups of a run's KV cache: which server holds one, and when it is used.
 
 use std::sync::Arc;
 
 use crate::backup;
 use crate::codec::{Backup, Codec};
-use crate::state::{Backend, Wanted};
+use crate::state::{Backend, Criteria};
 
 use super::Stream;
 
-impl<D: Codec> Stream<D> {
-    /// Takes the run's copy, if there is one and its holder still has it. A run that has made no
-    /// event has none.
-    pub(super) fn take_copy(&mut self) -> Option<(Arc<Backend>, Option<Backup>)> {
-        let keeper = self.keeper.take();
-        let backup = self.backup.take();
-        if !self.begun {
+impl<C: Codec> Stream<C> {
+    /// Removes and returns the run's backup and its holder, if the holder is still listed. A run
+    /// that has sent no event has no usable backup.
+    pub(super) fn take_backup(&mut self) -> Option<(Arc<Backend>, Option<Backup>)> {
+        let replacement = self.replacement.take();
+        let server = self.backup.take();
+        if !self.has_events {
             return None;
         }
-        if let Some(keeper) = keeper.filter(|keeper| self.relay.listed(&keeper.holder)) {
-            let copy = keeper.copy();
-            let holder = Arc::clone(&keeper.holder);
-            return copy.map(|copy| (holder, Some(copy)));
+        if let Some(replacement) =
+            replacement.filter(|replacement| self.relay.is_listed(&replacement.holder))
+        {
+            let backup = replacement.backup();
+            let holder = Arc::clone(&replacement.holder);
+            return backup.map(|backup| (holder, Some(backup)));
         }
-        let backup = backup.filter(|backup| self.relay.listed(backup))?;
-        let copy = Backup {
-            holder: backup.server.address,
+        let server = server.filter(|server| self.relay.is_listed(server))?;
+        let backup = Backup {
+            holder: server.server.address,
             handle: Arc::clone(&self.job.original.request_id),
         };
-        Some((backup, Some(copy)))
+        Some((server, Some(backup)))
     }
 
-    /// Has the run's memory copied elsewhere if the server that held the copy has gone.
-    pub(super) fn keep_copy(&mut self, source: &Arc<Backend>) {
-        let holder = match (&self.keeper, &self.backup) {
-            (Some(keeper), _) => &keeper.holder,
+    /// Starts a replacement backup on another server if the holder of the current one is gone.
+    pub(super) fn maintain_backup(&mut self, source: &Arc<Backend>) {
+        let holder = match (&self.replacement, &self.backup) {
+            (Some(replacement), _) => &replacement.holder,
             (None, Some(backup)) => backup,
             (None, None) => return,
         };
-        if self.relay.current(holder) || !self.relay.current(source) {
+        if self.relay.is_current(holder) || !self.relay.is_current(source) {
             return;
         }
         self.backup = None;
-        if let Some(replaced) = self.keeper.take() {
+        if let Some(replaced) = self.replacement.take() {
             replaced.free(&self.relay);
         }
-        self.keeper = self.choose_backup(source).map(|holder| {
+        self.replacement = self.choose_backup(source).map(|holder| {
             let request_id = &self.job.original.request_id;
-            backup::keep(&self.relay, request_id, source, holder)
+            backup::maintain(&self.relay, request_id, source, holder)
         });
     }
 
-    /// Chooses a server in another failure domain to keep a backup copy.
+    /// Chooses a server in another failure domain to hold a backup.
     pub(super) fn choose_backup(&self, primary: &Backend) -> Option<Arc<Backend>> {
         if !self.backups() {
             return None;
         }
-        let mut not = self.lost.clone();
-        not.push(Arc::clone(&primary.server.id));
-        let mut outside = vec![Arc::clone(&primary.server.failure_domain)];
-        outside.extend(self.lost_domain.clone());
-        let wanted = Wanted {
-            not: &not,
+        let mut excluded = self.excluded.clone();
+        excluded.push(Arc::clone(&primary.server.id));
+        let mut avoided_domains = vec![Arc::clone(&primary.server.failure_domain)];
+        avoided_domains.extend(self.avoided_domain.clone());
+        let criteria = Criteria {
+            excluded: &excluded,
             version: Some(&primary.server.version),
-            lot: self.job.lot().rotate_left(17),
-            ..self.wanted(&outside)
+            request_hash: self.job.request_hash().rotate_left(17),
+            ..self.criteria(&avoided_domains)
         };
-        let backup = self.relay.choose(Wanted {
-            distance: 0.0,
-            ..wanted
+        let backup = self.relay.choose(Criteria {
+            remote_penalty: 0.0,
+            ..criteria
         })?;
         let apart = backup.server.failure_domain != primary.server.failure_domain;
         apart.then_some(backup)
--- a/relay/src/stream/forwarding.rs
+++ b/relay/src/stream/forwarding.rs
@@ -1,4 +1,4 @@
-//! Hands on the events of a stream, from one server after another.
+//! Forwards the events of a stream to the caller, from one run after another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,15 +16,15 @@
 use crate::events::Splitter;
 use crate::state::Backend;
 
-use super::{FIRST_EVENT, Opened, Run, Stream};
+use super::{FIRST_EVENT_TIMEOUT, Opened, Run, Stream};
 
-/// Events that wait for a slow caller: a whole answer of usual size.
-const EVENTS_WAITING: usize = 256;
+/// Events that are queued for a slow caller: a whole generation of usual length.
+const EVENT_QUEUE: usize = 256;
 
-/// Where a stream's events come from.
-struct Source<D: Codec> {
+/// The run and the connection that a stream's events come from.
+struct Source<C: Codec> {
     body: Incoming,
-    run: Run<D>,
+    run: Run<C>,
     #[expect(
         dead_code,
         reason = "dropped with the source, which ends the connection"
@@ -32,50 +32,50 @@
     guard: Guard,
 }
 
-/// Why a run was left.
+/// Why forwarding of a run ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Left {
-    /// All events came.
+enum RunEnd {
+    /// All events arrived.
     Complete,
-    /// The caller left.
+    /// The caller disconnected.
     Caller,
-    /// The time ran out.
+    /// The deadline passed.
     Deadline,
-    /// The run was lost.
+    /// The run failed, with the cause.
     Lost(&'static str),
 }
 
-impl<D: Codec> Stream<D> {
-    /// Begins the answer to the caller, and hands on the events on a task of its own.
-    pub(super) async fn respond(mut self, opened: Opened<D>) -> Response<Content> {
+impl<C: Codec> Stream<C> {
+    /// Starts the response to the caller, and forwards the events on a separate task.
+    pub(super) async fn respond(mut self, opened: Opened<C>) -> Response<Content> {
         let (parts, body) = opened.answer.response.into_parts();
         let mut headers = self.relay.codec.response_headers(&parts.headers);
         let status = parts.status;
         if !status.is_success() {
-            return self.whole(status, headers, body).await;
+            return self.respond_with_error(status, headers, body).await;
         }
         headers.remove(CONTENT_LENGTH);
-        let (sender, events) = mpsc::channel(EVENTS_WAITING);
+        let (sender, events) = mpsc::channel(EVENT_QUEUE);
         let source = Source {
             run: opened.run,
             guard: opened.answer.guard,
             body,
         };
         self.ran += 1;
-        self.arrived();
+        self.record_arrival();
         tokio::spawn(async move {
-            let left = self.pump(source, &sender).await;
-            match left {
-                Left::Complete => {
+            let end = self.forward_all(source, &sender).await;
+            match end {
+                RunEnd::Complete => {
                     let _ = sender.send(Part::End).await;
-                    if let Some(keeper) = self.keeper.take() {
-                        keeper.free(&self.relay);
+                    if let Some(replacement) = self.replacement.take() {
+                        replacement.free(&self.relay);
                     }
                     self.ended(status.as_u16(), "answered");
                 }
-                Left::Caller => self.ended(status.as_u16(), "caller_left"),
-                Left::Deadline => self.ended(status.as_u16(), "timed_out"),
-                Left::Lost(_) => self.ended(status.as_u16(), "broken_off"),
+                RunEnd::Caller => self.ended(status.as_u16(), "caller_left"),
+                RunEnd::Deadline => self.ended(status.as_u16(), "timed_out"),
+                RunEnd::Lost(_) => self.ended(status.as_u16(), "broken_off"),
             }
         });
         let content = Content::Parts {
@@ -88,8 +88,8 @@
         response
     }
 
-    /// Answers with a server's failure, whose body is short.
-    async fn whole(
+    /// Returns a server's error response, whose body is short.
+    async fn respond_with_error(
         self,
         status: StatusCode,
         mut headers: HeaderMap,
@@ -109,29 +109,29 @@
         response
     }
 
-    /// Hands on events until the stream ends, going on at other servers as needed.
-    async fn pump(&mut self, mut source: Source<D>, sender: &mpsc::Sender<Part>) -> Left {
+    /// Forwards events until the stream ends, and resumes at other servers if runs fail.
+    async fn forward_all(&mut self, mut source: Source<C>, sender: &mpsc::Sender<Part>) -> RunEnd {
         loop {
-            let cause = match self.hand_on(&mut source, sender).await {
-                Left::Lost(cause) => cause,
-                left => return left,
+            let cause = match self.forward_run(&mut source, sender).await {
+                RunEnd::Lost(cause) => cause,
+                end => return end,
             };
             let failed = Arc::clone(&source.run.backend);
             if matches!(cause, "silent" | "gap" | "not_events") {
-                self.failed_at(&failed);
+                self.record_server_failure(&failed);
             }
-            // Ends the old connection first, so that the old run stops.
+            // Closes the old connection first, so that the old run stops.
             drop(source);
-            if !self.may_repeat() {
-                return Left::Lost(cause);
+            if !self.may_retry() {
+                return RunEnd::Lost(cause);
             }
             let now = self.relay.clock.now();
-            self.left(&failed, cause, now);
+            self.record_leave(&failed, cause, now);
             let deadline = self.relay.clock.instant(self.job.deadline);
             let opened = tokio::select! {
                 opened = self.open() => opened,
-                () = sender.closed() => return Left::Caller,
-                () = tokio::time::sleep_until(deadline) => return Left::Deadline,
+                () = sender.closed() => return RunEnd::Caller,
+                () = tokio::time::sleep_until(deadline) => return RunEnd::Deadline,
             };
             let opened = match opened {
                 Ok(opened) => opened,
@@ -141,15 +141,15 @@
                         reason = refusal.reason.name();
                         "stream not resumed"
                     );
-                    return Left::Lost(cause);
+                    return RunEnd::Lost(cause);
                 }
             };
             let (parts, body) = opened.answer.response.into_parts();
             if !parts.status.is_success() {
-                return Left::Lost("refused");
+                return RunEnd::Lost("refused");
             }
             self.ran += 1;
-            self.arrived();
+            self.record_arrival();
             source = Source {
                 run: opened.run,
                 guard: opened.answer.guard,
@@ -158,15 +158,15 @@
         }
     }
 
-    /// Notes that the stream leaves a server.
-    fn left(&mut self, failed: &Arc<Backend>, cause: &'static str, now: Duration) {
-        self.lost = vec![Arc::clone(&failed.server.id)];
-        self.lost_domain = Some(Arc::clone(&failed.server.failure_domain));
+    /// Records and logs that the stream leaves a server.
+    fn record_leave(&mut self, failed: &Arc<Backend>, cause: &'static str, now: Duration) {
+        self.excluded = vec![Arc::clone(&failed.server.id)];
+        self.avoided_domain = Some(Arc::clone(&failed.server.failure_domain));
         self.resumes += 1;
         self.relay.metrics.resume(cause);
         match cause {
             "silent" => self.silences += 1,
-            // A server that was lost no longer counts as one that the request was sent to.
+            // A run at a lost server does not count against the route's attempts.
             "server_lost" => self.ran -= 1,
             _ => {}
         }
@@ -183,71 +183,72 @@
         );
     }
 
-    /// Hands on the events of one run.
-    async fn hand_on(&mut self, source: &mut Source<D>, sender: &mpsc::Sender<Part>) -> Left {
+    /// Forwards the events of one run.
+    async fn forward_run(&mut self, source: &mut Source<C>, sender: &mpsc::Sender<Part>) -> RunEnd {
         let deadline = self.relay.clock.instant(self.job.deadline);
         let mut splitter = Splitter::default();
         let mut changed = self.relay.changed.subscribe();
-        let mut heard = Instant::now();
+        let mut last_received = Instant::now();
         loop {
-            let bound = if self.begun {
+            let bound = if self.has_events {
                 self.relay.settings.liveness.stream * 2_u32.pow(self.silences.min(3))
             } else {
-                FIRST_EVENT
+                FIRST_EVENT_TIMEOUT
             };
             let frame = tokio::select! {
                 biased;
                 frame = source.body.frame() => frame,
-                () = source.run.subscription.lost() => return Left::Lost("server_lost"),
-                () = sender.closed() => return Left::Caller,
-                () = tokio::time::sleep_until(heard + bound) => return Left::Lost("silent"),
-                () = tokio::time::sleep_until(deadline) => return Left::Deadline,
+                () = source.run.subscription.lost() => return RunEnd::Lost("server_lost"),
+                () = sender.closed() => return RunEnd::Caller,
+                () = tokio::time::sleep_until(last_received + bound) => return RunEnd::Lost("silent"),
+                () = tokio::time::sleep_until(deadline) => return RunEnd::Deadline,
                 _ = changed.changed() => {
-                    self.keep_copy(&source.run.backend);
+                    self.maintain_backup(&source.run.backend);
                     continue;
                 }
             };
             match frame {
                 Some(Ok(frame)) => splitter.push(&frame.into_data().unwrap_or_default()),
-                Some(Err(_)) => return Left::Lost("connection"),
-                None if splitter.has_rest() => return Left::Lost("cut_event"),
-                None => return Left::Complete,
+                Some(Err(_)) => return RunEnd::Lost("connection"),
+                None if splitter.has_partial() => return RunEnd::Lost("cut_event"),
+                None => return RunEnd::Complete,
             }
-            heard = Instant::now();
+            last_received = Instant::now();
             let now = self.relay.clock.now();
-            source.run.backend.monitor.heard(now);
+            source.run.backend.monitor.record_activity(now);
             while let Some(event) = splitter.next_event() {
                 match (event.id, self.last_event) {
                     (Some(id), Some(last)) if id <= last => continue,
-                    (Some(id), Some(last)) if id > last + 1 => return Left::Lost("gap"),
+                    (Some(id), Some(last)) if id > last + 1 => return RunEnd::Lost("gap"),
                     _ => {}
                 }
-                if !std::mem::replace(&mut self.begun, true) {
-                    source.run.place.read();
-                    self.keep_copy(&source.run.backend);
+                if !std::mem::replace(&mut self.has_events, true) {
+                    source.run.occupancy.prefill_done();
+                    self.maintain_backup(&source.run.backend);
                 }
                 self.last_event = event.id.or(self.last_event);
-                self.event_passed(now);
-                if let Some(sight) = source.run.probe.event(now) {
+                self.record_event(now);
+                if let Some(measurement) = source.run.meter.event(now) {
                     let backend = &source.run.backend;
-                    self.relay.saw(backend, &self.job.route.name, sight);
+                    self.relay
+                        .record_measurement(backend, &self.job.route.name, measurement);
                 }
-                // A caller that no longer reads holds the run until the deadline at most.
+                // A caller that stops reading occupies the run until the deadline at most.
                 let sending = sender.send(Part::Data(event.bytes));
                 match tokio::time::timeout_at(deadline, sending).await {
                     Ok(Ok(())) => {}
-                    Ok(Err(_)) => return Left::Caller,
-                    Err(_) => return Left::Deadline,
+                    Ok(Err(_)) => return RunEnd::Caller,
+                    Err(_) => return RunEnd::Deadline,
                 }
             }
             if splitter.overflows() {
-                return Left::Lost("not_events");
+                return RunEnd::Lost("not_events");
             }
         }
     }
 
-    /// Notes an event that is handed on.
-    fn event_passed(&mut self, now: Duration) {
+    /// Records the times of a forwarded event.
+    fn record_event(&mut self, now: Duration) {
         let pause = now.saturating_sub(self.last_event_at);
         if self.first_event_at.is_none() {
             self.first_event_at = Some(now);
--- a/relay/src/stream/meter.rs
+++ b/relay/src/stream/meter.rs
@@ -1,22 +1,22 @@
-//! Measures the events of one run, to compare versions of a service.
+//! Measures the events of one run, for the comparison of a service's versions.
 
 use std::time::Duration;
 
-use crate::state::Sight;
+use crate::state::Measurement;
 
-/// Events after which the mean time between them is told.
-const EVENTS: u32 = 16;
+/// Events after which the mean time between them is reported.
+const GAP_EVENTS: u32 = 16;
 
-/// Measures one run.
+/// Measurement of one run.
 #[derive(Clone, Copy, Debug)]
-pub struct Probe {
+pub struct Meter {
     sent_at: Duration,
     first_at: Duration,
     events: u32,
 }
 
-impl Probe {
-    /// Returns a probe of a run that was sent at `sent_at`.
+impl Meter {
+    /// Returns a meter of a run whose request was sent at `sent_at`.
     pub fn new(sent_at: Duration) -> Self {
         Self {
             sent_at,
@@ -25,21 +25,21 @@
         }
     }
 
-    /// Notes an event, and returns what it shows.
-    pub fn event(&mut self, now: Duration) -> Option<Sight> {
+    /// Counts an event, and returns a measurement if it completes one.
+    pub fn event(&mut self, now: Duration) -> Option<Measurement> {
         self.events = self.events.saturating_add(1);
         match self.events {
             1 => {
                 self.first_at = now;
-                Some(Sight {
+                Some(Measurement {
                     failed: Some(false),
                     first: Some(now.saturating_sub(self.sent_at)),
-                    ..Sight::default()
+                    ..Measurement::default()
                 })
             }
-            EVENTS => Some(Sight {
-                gap: Some(now.saturating_sub(self.first_at) / (EVENTS - 1)),
-                ..Sight::default()
+            GAP_EVENTS => Some(Measurement {
+                gap: Some(now.saturating_sub(self.first_at) / (GAP_EVENTS - 1)),
+                ..Measurement::default()
             }),
             _ => None,
         }
--- a/relay/src/stream/occupancy.rs
+++ b/relay/src/stream/occupancy.rs
@@ -1,4 +1,4 @@
-//! Counts a stream at its server.
+//! Counts a stream among those of its server.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -8,17 +8,17 @@
 use crate::codec::Codec;
 use crate::state::{Backend, Relay};
 
-/// A stream's place at a server, counted until this is dropped.
-pub struct Place<D: Codec> {
-    relay: Arc<Relay<D>>,
+/// A stream at a server, counted until this is dropped.
+pub struct Occupancy<C: Codec> {
+    relay: Arc<Relay<C>>,
     backend: Arc<Backend>,
-    reading: bool,
+    prefilling: bool,
 }
 
-impl<D: Codec> Place<D> {
-    /// Counts a stream at `backend`, whose prompt is to be read there unless the server has it.
-    pub fn take(relay: &Arc<Relay<D>>, backend: &Arc<Backend>, reading: bool) -> Self {
-        if reading {
+impl<C: Codec> Occupancy<C> {
+    /// Counts a stream at `backend`, in prefill if `prefilling`.
+    pub fn start(relay: &Arc<Relay<C>>, backend: &Arc<Backend>, prefilling: bool) -> Self {
+        if prefilling {
             backend.load(Load::reading_started);
         }
         backend.streams.fetch_add(1, Ordering::Relaxed);
@@ -26,22 +26,22 @@
         Self {
             relay: Arc::clone(relay),
             backend: Arc::clone(backend),
-            reading,
+            prefilling,
         }
     }
 
-    /// Notes that the prompt has been read.
-    pub fn read(&mut self) {
-        if std::mem::take(&mut self.reading) {
+    /// Records the end of prefill.
+    pub fn prefill_done(&mut self) {
+        if std::mem::take(&mut self.prefilling) {
             self.backend.load(Load::reading_ended);
             self.relay.streams_changed.notify_one();
         }
     }
 }
 
-impl<D: Codec> Drop for Place<D> {
+impl<C: Codec> Drop for Occupancy<C> {
     fn drop(&mut self) {
-        self.read();
+        self.prefill_done();
         self.backend.streams.fetch_sub(1, Ordering::Relaxed);
         self.relay.streams_changed.notify_one();
     }
--- a/relay/tests/changelog.rs
+++ b/relay/tests/changelog.rs
@@ -1,4 +1,4 @@
-//! What an entry tells another of the store.
+//! The changes of the store that an entry sends to a peer.
 
 use medlarfall_relay::changelog::Changelog;
 use medlarfall_runtime::store::Change;
@@ -12,36 +12,36 @@
 }
 
 #[test]
-fn the_newest_change_of_each_key_is_told_oldest_first() {
-    let mut mirror = Changelog::default();
-    mirror.insert(&change("a", Some("1"), 5));
-    mirror.insert(&change("b", Some("1"), 7));
-    mirror.insert(&change("a", None, 9));
-    mirror.insert(&change("a", Some("old"), 6));
-    mirror.mark_complete(9);
-    let told = mirror.changes_since(0);
-    assert_eq!(told.revision, 9);
+fn the_newest_change_of_each_key_is_returned_oldest_first() {
+    let mut changelog = Changelog::default();
+    changelog.insert(&change("a", Some("1"), 5));
+    changelog.insert(&change("b", Some("1"), 7));
+    changelog.insert(&change("a", None, 9));
+    changelog.insert(&change("a", Some("old"), 6));
+    changelog.mark_complete(9);
+    let sent = changelog.changes_since(0);
+    assert_eq!(sent.revision, 9);
     assert_eq!(
-        told.changes,
+        sent.changes,
         [change("b", Some("1"), 7), change("a", None, 9)]
     );
-    assert_eq!(mirror.changes_since(7).changes, [change("a", None, 9)]);
+    assert_eq!(changelog.changes_since(7).changes, [change("a", None, 9)]);
 }
 
 #[test]
-fn what_is_complete_never_goes_back() {
-    let mut mirror = Changelog::default();
-    mirror.mark_complete(9);
-    mirror.mark_complete(4);
-    assert_eq!(mirror.revision(), 9);
+fn the_complete_revision_never_decreases() {
+    let mut changelog = Changelog::default();
+    changelog.mark_complete(9);
+    changelog.mark_complete(4);
+    assert_eq!(changelog.revision(), 9);
 }
 
 #[test]
 fn removed_keys_are_bounded() {
-    let mut mirror = Changelog::default();
+    let mut changelog = Changelog::default();
     for revision in 1..=20_000_u64 {
-        mirror.insert(&change(&format!("k{revision}"), None, revision));
-        mirror.mark_complete(revision);
+        changelog.insert(&change(&format!("k{revision}"), None, revision));
+        changelog.mark_complete(revision);
     }
-    assert!(mirror.changes_since(0).changes.len() <= 4_096);
+    assert!(changelog.changes_since(0).changes.len() <= 4_096);
 }
--- a/relay/tests/events.rs
+++ b/relay/tests/events.rs
@@ -1,4 +1,4 @@
-//! Events come out whole and unchanged, however their bytes are cut.
+//! The splitter returns whole, unchanged events wherever the bytes are cut between reads.
 
 use medlarfall_relay::events::Splitter;
 
@@ -17,26 +17,29 @@
         .flat_map(|event| event.bytes.to_vec())
         .collect();
     assert!(STREAM.starts_with(&whole));
-    assert!(splitter.has_rest(), "the cut event is left");
+    assert!(
+        splitter.has_partial(),
+        "the partial event remains in the buffer"
+    );
 }
 
 #[test]
 fn cuts_between_reads_change_nothing() {
     bolero::check!().with_type::<Vec<u8>>().for_each(|cuts| {
         let mut splitter = Splitter::default();
-        let mut rest = STREAM;
+        let mut remaining = STREAM;
         let mut events = Vec::new();
         for cut in cuts {
-            let (now, later) = rest.split_at(usize::from(*cut % 7).min(rest.len()));
+            let (now, later) = remaining.split_at(usize::from(*cut % 7).min(remaining.len()));
             splitter.push(now);
-            rest = later;
+            remaining = later;
             events.extend(std::iter::from_fn(|| splitter.next_event()));
         }
-        splitter.push(rest);
+        splitter.push(remaining);
         events.extend(std::iter::from_fn(|| splitter.next_event()));
-        let mut at_once = Splitter::default();
-        at_once.push(STREAM);
-        let expected: Vec<_> = std::iter::from_fn(|| at_once.next_event()).collect();
+        let mut unsplit = Splitter::default();
+        unsplit.push(STREAM);
+        let expected: Vec<_> = std::iter::from_fn(|| unsplit.next_event()).collect();
         assert_eq!(events, expected);
     });
 }
