--- a/relay/src/answer.rs
+++ b/relay/src/answer.rs
@@ -117,7 +117,7 @@
     TimedOut,
     /// The deadline passed before the request was sent to a server.
     TooLate,
-    /// This entry has no memory left for the body.
+    /// This entry has no free memory for the body.
     Memory,
     /// This entry stops before the request could end; another entry can serve it.
     Stopping,
--- a/relay/src/backup.rs
+++ b/relay/src/backup.rs
@@ -60,8 +60,8 @@
     }
 }
 
-/// Copies the KV cache of the run `request_id` from `source` to `holder` every
-/// [`REFRESH_INTERVAL`].
+/// Copies the KV cache of the run `request_id` from `source` to `holder`, periodically until the
+/// returned value is dropped.
 pub fn maintain<C: Codec>(
     relay: &Arc<Relay<C>>,
     request_id: &Arc<str>,
--- a/relay/src/broadcast.rs
+++ b/relay/src/broadcast.rs
@@ -132,7 +132,7 @@
         Err(error) => {
             log::warn!(
                 from = from.to_string().as_str(), reason = error.to_string().as_str();
-                    "message of a peer not decoded"
+                "message of a peer not decoded"
             );
             return;
         }
@@ -172,7 +172,7 @@
     relay.record_peer_streams(message.entry, counts);
 }
 
-/// Returns the changes since the revision `sent`, if this entry reads the store and they fit into a
+/// Returns the changes since `sent_revision`, if this entry reads the store and they fit into a
 /// message.
 fn updates<C: Codec>(relay: &Relay<C>, sent_revision: u64) -> Option<Updates> {
     if sent_revision == 0 || !relay.reads_store.load(Ordering::Relaxed) {
@@ -196,18 +196,18 @@
     loop {
         let reads = relay.reads_store.load(Ordering::Relaxed);
         let has_open_moves = relay.has_open_moves();
-        let longest = match (relay.has_unsent_retries(), reads || has_open_moves) {
+        let interval = match (relay.has_unsent_retries(), reads || has_open_moves) {
             (true, _) => RETRY_INTERVAL,
             (false, true) => READER_TELLS,
             (false, false) => MAX_INTERVAL,
         };
         tokio::select! {
             () = relay.streams_changed.notified() => {}
-            () = tokio::time::sleep_until(all_sent_at + longest) => {}
+            () = tokio::time::sleep_until(all_sent_at + interval) => {}
         }
         let updates = updates(&relay, sent_revision);
         let everyone =
-            updates.is_some() || relay.has_unsent_successors() || all_sent_at.elapsed() >= longest;
+            updates.is_some() || relay.has_unsent_successors() || all_sent_at.elapsed() >= interval;
         let revision = relay.changelog(|changelog| changelog.revision());
         if everyone {
             all_sent_at = Instant::now();
--- a/relay/src/call.rs
+++ b/relay/src/call.rs
@@ -72,11 +72,11 @@
     };
     let route = &*job.route.name;
     let took = relay.clock.now().saturating_sub(job.began);
-    relay.metrics.end(route, status.as_u16(), reason);
-    relay.metrics.answered(route, &job.service, took);
+    relay.metrics.count_ended(route, status.as_u16(), reason);
+    relay.metrics.record_latency(route, &job.service, took);
     let late = outcome.is_ok() && took > job.route.target_latency;
     if late {
-        relay.metrics.late(route);
+        relay.metrics.count_late(route);
     }
     log::info!(
         request = &*job.original.request_id, route, status = status.as_u16(), reason, late,
@@ -136,7 +136,7 @@
         match received {
             Ok(received) if !received.status.is_server_error() => return Ok(received),
             Ok(received) => {
-                progress.ran(&mut failed, Some(received));
+                progress.record_run(&mut failed, Some(received));
             }
             Err(Failure::NotSent { reason }) => {
                 progress.in_flight = progress.arrivals > 0;
@@ -151,7 +151,7 @@
                 log_failure(job, &backend, "not_run", "refused by the server");
             }
             Err(Failure::Lost { reason }) => {
-                progress.ran(&mut failed, None);
+                progress.record_run(&mut failed, None);
                 log_failure(job, &backend, "lost", &reason);
             }
         }
@@ -190,7 +190,7 @@
 impl Progress {
     /// Records an attempt that ran or may have run; `received` is the server's error response, if
     /// there is one.
-    fn ran(&mut self, failed: &mut Option<Received>, received: Option<Received>) {
+    fn record_run(&mut self, failed: &mut Option<Received>, received: Option<Received>) {
         self.arrivals += 1;
         self.ran += 1;
         if received.is_some() {
--- a/relay/src/changelog.rs
+++ b/relay/src/changelog.rs
@@ -119,8 +119,8 @@
     response
 }
 
-/// Catches up from a peer that has read up to `revision`, if this entry is still behind after
-/// [`CATCH_UP_DELAY`].
+/// Catches up from a peer that has read up to `revision`, if this entry is still behind after a
+/// short delay.
 pub async fn catch_up<C: Codec>(relay: Arc<Relay<C>>, peer: SocketAddr, revision: u64) {
     let own = || relay.changelog(|changelog| changelog.revision());
     if own() > 0 {
--- a/relay/src/codec.rs
+++ b/relay/src/codec.rs
@@ -155,7 +155,7 @@
 }
 
 /// Translates between the relay's types and the protocol of callers, servers and the store.
-pub trait Codec: std::marker::Send + Sync + 'static {
+pub trait Codec: Send + Sync + 'static {
     /// Decodes the head of a caller's request.
     ///
     /// # Errors
@@ -165,7 +165,7 @@
 
     /// Returns the headers of a forwarded request: the caller's without hop-by-hop headers and
     /// headers that only this system may set, and those of the attempt.
-    fn request_headers(&self, caller: &HeaderMap, send: &Dispatch) -> HeaderMap;
+    fn request_headers(&self, caller: &HeaderMap, dispatch: &Dispatch) -> HeaderMap;
 
     /// Decodes the head of a server's response to the request `request_id`.
     fn decode_reply(&self, request_id: &str, parts: &Parts) -> Reply;
--- a/relay/src/ingress.rs
+++ b/relay/src/ingress.rs
@@ -110,7 +110,9 @@
 
 fn log_refusal<C: Codec>(relay: &Relay<C>, refusal: &Refusal, request_id: &str) {
     let status = refusal.reason.status().as_u16();
-    relay.metrics.end("none", status, refusal.reason.name());
+    relay
+        .metrics
+        .count_ended("none", status, refusal.reason.name());
     log::info!(
         request = request_id, status, reason = refusal.reason.name();
         "request refused before placement"
--- a/relay/src/listener.rs
+++ b/relay/src/listener.rs
@@ -38,7 +38,7 @@
 
 /// Serves one connection.
 async fn connection<C: Codec>(relay: Arc<Relay<C>>, stream: TcpStream) {
-    if let Err(error) = prepare(&stream) {
+    if let Err(error) = set_options(&stream) {
         log::debug!(reason = error.to_string().as_str(); "socket options of a caller's connection not set");
     }
     let limits = relay.table().map(|table| table.limits).unwrap_or_default();
@@ -70,6 +70,6 @@
 }
 
 /// Sets the socket options of a caller's connection.
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn set_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)
 }
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -221,7 +221,7 @@
 
 impl Metrics {
     /// Counts an ended request.
-    pub fn end(&self, route: &str, status: u16, reason: &'static str) {
+    pub fn count_ended(&self, route: &str, status: u16, reason: &'static str) {
         let labels = EndLabels {
             route: route.to_owned(),
             status,
@@ -231,13 +231,13 @@
     }
 
     /// Counts a late response of a route.
-    pub fn late(&self, route: &str) {
+    pub fn count_late(&self, route: &str) {
         let route = route.to_owned();
         self.late.get_or_create(&RouteLabels { route }).inc();
     }
 
     /// Records the time to a response or a first event.
-    pub fn answered(&self, route: &str, service: &str, time: Duration) {
+    pub fn record_latency(&self, route: &str, service: &str, time: Duration) {
         let seconds = time.as_secs_f64();
         let route = route.to_owned();
         self.first
@@ -257,23 +257,23 @@
     }
 
     /// Sets the gauges, and the counters of lost log lines.
-    pub fn set(&self, gauges: &Gauges, log: Lost) {
+    pub fn set_gauges(&self, gauges: &Gauges, log: Lost) {
         let age = |kind, age: Duration| {
             let gauge = self.age.get_or_create(&KindLabels { kind }).clone();
             gauge.set(age.as_secs_f64());
         };
         age("configuration", gauges.configuration_age);
         age("servers", gauges.servers_age);
-        let whole = |number: usize| i64::try_from(number).unwrap_or(i64::MAX);
-        self.held_bytes.set(whole(gauges.held_bytes));
-        self.entries.set(whole(gauges.entries));
+        let signed = |number: usize| i64::try_from(number).unwrap_or(i64::MAX);
+        self.held_bytes.set(signed(gauges.held_bytes));
+        self.entries.set(signed(gauges.entries));
         for (service, count) in &gauges.servers {
             let service = service.clone();
             let gauge = self
                 .servers
                 .get_or_create(&ServiceLabels { service })
                 .clone();
-            gauge.set(whole(*count));
+            gauge.set(signed(*count));
         }
         for (kind, lines) in [("folded", log.folded), ("dropped", log.dropped)] {
             let counter = self
@@ -285,7 +285,7 @@
     }
 
     /// Counts a stream that leaves a server.
-    pub fn resume(&self, cause: &'static str) {
+    pub fn count_resume(&self, cause: &'static str) {
         self.resumed.get_or_create(&CauseLabels { cause }).inc();
     }
 
--- a/relay/src/monitor.rs
+++ b/relay/src/monitor.rs
@@ -69,14 +69,14 @@
     }
 
     /// Returns the next step; ends monitoring when no stream remains.
-    fn step(&self, now: Duration, reading: bool) -> Option<Step> {
+    fn step(&self, now: Duration, prefilling: bool) -> Option<Step> {
         self.with(|slot| {
             let watched = slot.as_ref()?;
             if watched.streams == 0 {
                 *slot = None;
                 return None;
             }
-            let step = watched.detector.next(now, reading);
+            let step = watched.detector.next(now, prefilling);
             if step == Step::Lost {
                 watched.lost.send_replace(true);
                 *slot = None;
@@ -120,8 +120,8 @@
 /// Drives the detector of one server until its last stream has left or the server is lost.
 async fn run<C: Codec>(relay: Arc<Relay<C>>, backend: Arc<Backend>) {
     let step = || {
-        let reading = backend.load(|load| load.only_reads());
-        backend.monitor.step(relay.clock.now(), reading)
+        let prefilling = backend.load(|load| load.only_reads());
+        backend.monitor.step(relay.clock.now(), prefilling)
     };
     while let Some(step) = step() {
         match step {
--- a/relay/src/state/gauges.rs
+++ b/relay/src/state/gauges.rs
@@ -30,7 +30,7 @@
                 .map(|(service, backends)| (service.to_string(), backends.len()))
                 .collect(),
         });
-        self.metrics.set(&gauges, logging::lost());
+        self.metrics.set_gauges(&gauges, logging::lost());
         self.metrics.text()
     }
 }
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -127,7 +127,7 @@
         let now = self.clock.now();
         let server = &backend.server;
         self.with_canary(&server.service, |canary, view| {
-            let side = if canary.order().version == server.version {
+            let cohort = if canary.order().version == server.version {
                 Side::New
             } else {
                 Side::Old
@@ -136,7 +136,7 @@
             let warming_up = view.warmups.get(&server.id).is_some_and(|end| now < *end);
             let time = |time: Option<Duration>| time.filter(|_| !warming_up);
             let observation = Observation {
-                side,
+                side: cohort,
                 route: Arc::clone(route),
                 failed: measurement.failed,
                 first: time(measurement.first),
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -45,8 +45,8 @@
         let now = self.clock.now();
         self.view(|view| {
             for backend in view.backends.values().flatten() {
-                let silent = || backend.load(|load| load.told_unreachable(now));
-                if lost.contains(&backend.server.id) && silent() {
+                let not_seen_since = || backend.load(|load| load.told_unreachable(now));
+                if lost.contains(&backend.server.id) && not_seen_since() {
                     backend.set_unconfirmed(true);
                     view.pending_searches.push(Arc::clone(backend));
                 }
@@ -67,7 +67,7 @@
         let now = self.clock.now();
         self.view(|view| {
             view.retries_unsent = false;
-            let windows = view.retries.iter_mut();
+            let windows = view.retry_windows.iter_mut();
             let used = windows.map(|(service, window)| (Arc::clone(service), window.usage(now)));
             used.collect()
         })
@@ -192,13 +192,13 @@
         let own = Some(&self.settings.failure_domain);
         self.view(|view| {
             let peers = view.peers.values();
-            let told = peers.filter(|peer| {
+            let recipients = peers.filter(|peer| {
                 everyone || peer.failure_domain.is_none() || peer.failure_domain.as_ref() == own
             });
-            let told: Vec<&Peer> = told.collect();
-            let links = told.iter().filter_map(|peer| peer.link_mbps);
+            let recipients: Vec<&Peer> = recipients.collect();
+            let links = recipients.iter().filter_map(|peer| peer.link_mbps);
             Recipients {
-                addresses: told.iter().map(|peer| peer.address).collect(),
+                addresses: recipients.iter().map(|peer| peer.address).collect(),
                 link_mbps: links.fold(self.settings.link_mbps, u32::min),
             }
         })
--- a/relay/src/state/placement.rs
+++ b/relay/src/state/placement.rs
@@ -10,8 +10,8 @@
 
 use super::{Backend, Relay};
 
-/// Most servers of a group that one entry searches for at once. Entries share the servers that they
-/// find, and thousands of probes a second would fill the links of a large fleet.
+/// Most servers of a group that one entry searches for at the same time. Entries share the servers
+/// that they find, and thousands of probes a second would fill the links of a large fleet.
 const SEARCH_LIMIT: usize = 8;
 
 /// How a server's load is measured.
--- a/relay/src/state/servers.rs
+++ b/relay/src/state/servers.rs
@@ -86,20 +86,20 @@
         self.changed.send_modify(|count| *count += 1);
     }
 
-    /// Adds a server that was found in place of `gone` while the store is unavailable, by this
+    /// Adds a server that was found in place of `lost` while the store is unavailable, by this
     /// entry or, if `from_peer`, by another one.
-    pub fn adopt(&self, gone: &Server, id: &Arc<str>, started_ms: Option<u64>, from_peer: bool) {
+    pub fn adopt(&self, lost: &Server, id: &Arc<str>, started_ms: Option<u64>, from_peer: bool) {
         let now = self.clock.now();
         let server = Server {
             id: Arc::clone(id),
             leaving: false,
             born_ms: started_ms,
-            ..gone.clone()
+            ..lost.clone()
         };
         let effect = self.view(|view| {
             let effect = view.registry.adopt(server);
             let found = Successor {
-                predecessor: Arc::clone(&gone.id),
+                predecessor: Arc::clone(&lost.id),
                 id: Arc::clone(id),
                 started_ms,
             };
@@ -118,10 +118,10 @@
         self.registry_changed(effect, id, 0);
     }
 
-    /// Returns the server that has replaced `gone` at its address.
+    /// Returns the server that has replaced `lost` at its address.
     #[must_use]
-    pub fn successor(&self, gone: &Backend) -> Option<Arc<Backend>> {
-        let server = &gone.server;
+    pub fn successor(&self, lost: &Backend) -> Option<Arc<Backend>> {
+        let server = &lost.server;
         self.view(|view| {
             let backends = view.backends.get(&server.service)?;
             let mut others = backends.iter();
--- a/relay/src/state/view.rs
+++ b/relay/src/state/view.rs
@@ -34,12 +34,12 @@
     pub(super) servers_confirmed_at: Duration,
     pub(super) registry: Roster,
     pub(super) backends: HashMap<Arc<str>, Vec<Arc<Backend>>>,
-    pub(super) retries: HashMap<Arc<str>, Window>,
+    pub(super) retry_windows: HashMap<Arc<str>, Window>,
     /// Retry usage of the peers, by service.
     pub(super) peer_retries: HashMap<Arc<str>, Others>,
     /// Whether this entry has made retries that it has not sent to its peers.
     pub(super) retries_unsent: bool,
-    /// The last ordered move of each service.
+    /// Last ordered move of each service.
     pub(super) canaries: HashMap<Arc<str>, Canary>,
     /// Services whose last move has a recorded end.
     pub(super) recorded_moves: HashSet<Arc<str>>,
@@ -77,7 +77,7 @@
 impl View {
     /// Returns the retry window of a service.
     pub(super) fn retry_window(&mut self, service: &Arc<str>, bounds: Bounds) -> &mut Window {
-        let window = self.retries.entry(Arc::clone(service));
+        let window = self.retry_windows.entry(Arc::clone(service));
         window.or_insert_with(|| Window::new(bounds))
     }
 
--- a/relay/src/store_watch.rs
+++ b/relay/src/store_watch.rs
@@ -182,7 +182,7 @@
     match relay.codec.decode_record(change) {
         Ok(Record::Configuration(table)) => relay.configure(table),
         Ok(Record::Server { server, warmup }) => {
-            relay.register_server(server, warmup, change.revision)
+            relay.register_server(server, warmup, change.revision);
         }
         Ok(Record::ServerRemoved { id, problem }) => {
             if let Some(problem) = problem {
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -101,7 +101,7 @@
     match opened {
         Ok(opened) => stream.respond(opened).await,
         Err(refusal) => {
-            stream.ended(refusal.reason.status().as_u16(), refusal.reason.name());
+            stream.record_end(refusal.reason.status().as_u16(), refusal.reason.name());
             refusal.response(&relay.codec, Some(&stream.job.original.request_id))
         }
     }
@@ -136,7 +136,7 @@
     }
 
     /// Returns whether the stream has backups: it is resumable and its servers support them.
-    fn backups(&self) -> bool {
+    fn has_backups(&self) -> bool {
         let service = self.job.table.service(&self.job.service);
         self.resumable() && service.is_some_and(|service| service.backups)
     }
--- a/relay/src/stream/backups.rs
+++ b/relay/src/stream/backups.rs
@@ -54,7 +54,7 @@
 
     /// Chooses a server in another failure domain to hold a backup.
     pub(super) fn choose_backup(&self, primary: &Backend) -> Option<Arc<Backend>> {
-        if !self.backups() {
+        if !self.has_backups() {
             return None;
         }
         let mut excluded = self.excluded.clone();
--- a/relay/src/stream/forwarding.rs
+++ b/relay/src/stream/forwarding.rs
@@ -71,11 +71,11 @@
                     if let Some(replacement) = self.replacement.take() {
                         replacement.free(&self.relay);
                     }
-                    self.ended(status.as_u16(), "answered");
+                    self.record_end(status.as_u16(), "answered");
                 }
-                RunEnd::Caller => self.ended(status.as_u16(), "caller_left"),
-                RunEnd::Deadline => self.ended(status.as_u16(), "timed_out"),
-                RunEnd::Lost(_) => self.ended(status.as_u16(), "broken_off"),
+                RunEnd::Caller => self.record_end(status.as_u16(), "caller_left"),
+                RunEnd::Deadline => self.record_end(status.as_u16(), "timed_out"),
+                RunEnd::Lost(_) => self.record_end(status.as_u16(), "broken_off"),
             }
         });
         let content = Content::Parts {
@@ -96,13 +96,13 @@
         body: Incoming,
     ) -> Response<Content> {
         let Ok(body) = body.collect().await else {
-            self.ended(Reason::Lost.status().as_u16(), Reason::Lost.name());
+            self.record_end(Reason::Lost.status().as_u16(), Reason::Lost.name());
             let id = Some(&*self.job.original.request_id);
             return Refusal::new(Reason::Lost).response(&self.relay.codec, id);
         };
         let body = body.to_bytes();
         headers.insert(CONTENT_LENGTH, body.len().into());
-        self.ended(status.as_u16(), "answered");
+        self.record_end(status.as_u16(), "answered");
         let mut response = Response::new(Content::Whole(Some(body)));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
@@ -163,7 +163,7 @@
         self.excluded = vec![Arc::clone(&failed.server.id)];
         self.avoided_domain = Some(Arc::clone(&failed.server.failure_domain));
         self.resumes += 1;
-        self.relay.metrics.resume(cause);
+        self.relay.metrics.count_resume(cause);
         match cause {
             "silent" => self.silences += 1,
             // A run at a lost server does not count against the route's attempts.
@@ -254,7 +254,7 @@
             self.first_event_at = Some(now);
             let took = now.saturating_sub(self.job.began);
             let metrics = &self.relay.metrics;
-            metrics.answered(&self.job.route.name, &self.job.service, took);
+            metrics.record_latency(&self.job.route.name, &self.job.service, took);
         } else {
             self.longest_pause = self.longest_pause.max(pause);
         }
@@ -265,10 +265,10 @@
     }
 
     /// Logs and counts the end of the stream.
-    pub(super) fn ended(&self, status: u16, reason: &'static str) {
+    pub(super) fn record_end(&self, status: u16, reason: &'static str) {
         let route = &*self.job.route.name;
         let since = |time: Duration| time.saturating_sub(self.job.began).as_millis();
-        self.relay.metrics.end(route, status, reason);
+        self.relay.metrics.count_ended(route, status, reason);
         let first = self
             .first_event_at
             .map(|at| at.saturating_sub(self.job.began));
@@ -279,7 +279,7 @@
                 .longest_pause
                 .is_some_and(|longest| self.longest_pause > longest);
         if late {
-            self.relay.metrics.late(route);
+            self.relay.metrics.count_late(route);
         }
         log::info!(
             request = &*self.job.original.request_id, route, status, reason, late,
