--- /dev/null
+++ b/relay/src/state/gauges.rs
@@ -0,0 +1,36 @@
+//! Gauges that are computed when the metrics are scraped.
+
+use medlarfall_runtime::logging;
+
+use crate::codec::Codec;
+use crate::metrics::Gauges;
+
+use super::Relay;
+
+impl<C: Codec> Relay<C> {
+    /// Records that the list of servers is complete as of now: this entry read the store, or a peer
+    /// that reads it reported no newer revision.
+    pub fn servers_known(&self) {
+        let now = self.clock.now();
+        self.view(|view| view.servers_confirmed_at = now);
+    }
+
+    /// Returns the metrics in the Prometheus text format.
+    #[must_use]
+    pub fn metrics_text(&self) -> String {
+        let now = self.clock.now();
+        let gauges = self.view(|view| Gauges {
+            configuration_age: now.saturating_sub(view.table_at),
+            servers_age: now.saturating_sub(view.servers_confirmed_at),
+            held_bytes: self.memory.held(),
+            entries: view.peers.len(),
+            servers: view
+                .backends
+                .iter()
+                .map(|(service, backends)| (service.to_string(), backends.len()))
+                .collect(),
+        });
+        self.metrics.set_gauges(&gauges, logging::lost());
+        self.metrics.text()
+    }
+}
--- /dev/null
+++ b/relay/src/state/view.rs
@@ -0,0 +1,131 @@
+//! This entry's view of the configuration, the servers and the other entries.
+
+use medlarfall_coordination::canary::Canary;
+use medlarfall_coordination::outage::Groups;
+use medlarfall_coordination::readers::Readers;
+use medlarfall_coordination::retry_budget::{Bounds, Others, Window};
+use medlarfall_coordination::roster::Roster;
+use medlarfall_coordination::routing::Table;
+use medlarfall_coordination::shared_load;
+use medlarfall_coordination::tidings::Tidings;
+use std::collections::{HashMap, HashSet};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::broadcast::Successor;
+
+use super::{Backend, Settings};
+
+/// Least number of entries that a reserve of retries is divided by: an entry that has just started
+/// may not know the others yet.
+const MIN_ENTRIES: u32 = 5;
+
+/// Least reserve of retries of one entry, so that a single loss can always be retried.
+const MIN_RESERVE: f64 = 3.0;
+
+/// The view, behind the lock of [`super::Relay`].
+#[derive(Debug, Default)]
+pub(super) struct View {
+    pub(super) table: Option<Arc<Table>>,
+    /// When the configuration in force was received.
+    pub(super) table_at: Duration,
+    /// When the list of servers was last known to be complete.
+    pub(super) servers_confirmed_at: Duration,
+    pub(super) registry: Roster,
+    pub(super) backends: HashMap<Arc<str>, Vec<Arc<Backend>>>,
+    pub(super) retry_windows: HashMap<Arc<str>, Window>,
+    /// Retry usage of the peers, by service.
+    pub(super) peer_retries: HashMap<Arc<str>, Others>,
+    /// Whether this entry has made retries that it has not sent to its peers.
+    pub(super) retries_unsent: bool,
+    /// Last ordered move of each service.
+    pub(super) canaries: HashMap<Arc<str>, Canary>,
+    /// Services whose last move has a recorded end.
+    pub(super) recorded_moves: HashSet<Arc<str>>,
+    /// End of the warm-up of recently started servers.
+    pub(super) warmups: HashMap<Arc<str>, Duration>,
+    pub(super) groups: Groups<Group>,
+    pub(super) peers: HashMap<Arc<str>, Peer>,
+    pub(super) reader_election: Option<Readers>,
+    pub(super) peer_load: shared_load::Table,
+    pub(super) pending_searches: Vec<Arc<Backend>>,
+    /// Successors of lost servers, found while the store is unavailable.
+    pub(super) successors: Tidings<Successor>,
+    /// Servers that this entry could not reach recently.
+    pub(super) unreachable: Tidings<Arc<str>>,
+}
+
+/// Another entry.
+#[derive(Clone, Debug, Eq, PartialEq)]
+pub(super) struct Peer {
+    /// Address at which it receives messages.
+    pub(super) address: SocketAddr,
+    /// Failure domain that it runs in; `None` until its first message.
+    pub(super) failure_domain: Option<Arc<str>>,
+    /// Capacity of its machine's link, in Mbit/s; `None` until its first message.
+    pub(super) link_mbps: Option<u32>,
+}
+
+/// The servers of a service in one failure domain.
+#[derive(Clone, Debug, Eq, Hash, PartialEq)]
+pub(super) struct Group {
+    pub(super) service: Arc<str>,
+    pub(super) failure_domain: Arc<str>,
+}
+
+impl View {
+    /// Returns the retry window of a service.
+    pub(super) fn retry_window(&mut self, service: &Arc<str>, bounds: Bounds) -> &mut Window {
+        let window = self.retry_windows.entry(Arc::clone(service));
+        window.or_insert_with(|| Window::new(bounds))
+    }
+
+    /// Returns this entry's part of a reserve of retries.
+    pub(super) fn reserve(&self, bounds: Bounds) -> f64 {
+        let entries = u32::try_from(self.peers.len() + 1).unwrap_or(u32::MAX);
+        let part = bounds.reserve / f64::from(entries.max(MIN_ENTRIES));
+        part.max(MIN_RESERVE)
+    }
+
+    /// Updates the backends from the registration of one server.
+    pub(super) fn update_backends(&mut self, settings: &Settings, id: &Arc<str>) {
+        let known = self.registry.get(id).filter(|server| !server.leaving);
+        for backends in self.backends.values_mut() {
+            backends.retain(|backend| {
+                backend.server.id != *id || known.is_some_and(|known| *known == backend.server)
+            });
+        }
+        let Some(server) = known else {
+            return;
+        };
+        let backends = self
+            .backends
+            .entry(Arc::clone(&server.service))
+            .or_default();
+        if backends.iter().all(|backend| backend.server.id != *id) {
+            backends.push(Arc::new(Backend::new(Arc::clone(server), settings)));
+        }
+    }
+
+    /// Drops the backends that are no longer registered.
+    pub(super) fn remove_unlisted(&mut self) {
+        let registry = &self.registry;
+        for backends in self.backends.values_mut() {
+            backends.retain(|backend| registry.get(&backend.server.id).is_some());
+        }
+    }
+
+    /// Updates the backends from all registrations.
+    pub(super) fn update_all_backends(&mut self, settings: &Settings) {
+        self.remove_unlisted();
+        let ids: Vec<Arc<str>> = self
+            .registry
+            .iter()
+            .map(|server| Arc::clone(&server.id))
+            .collect();
+        for id in &ids {
+            self.update_backends(settings, id);
+        }
+    }
+}
--- /dev/null
+++ b/relay/src/store_watch.rs
@@ -0,0 +1,217 @@
+//! Watches configuration, servers, moves and peers in the store.
+//!
+//! Lists all keys once, then watches them with long polls. Nothing that is known is dropped while
+//! the store is unavailable. Each watch is bounded in time, since a connection can fall silent
+//! without an error.
+
+use std::collections::HashSet;
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
+
+use rand::Rng;
+use tokio::time::timeout;
+
+use medlarfall_coordination::canary::Order;
+use medlarfall_coordination::readers::retry_pause;
+use medlarfall_runtime::store::{Change, Changes, Error, Store};
+
+use crate::codec::{Codec, Record};
+use crate::state::Relay;
+
+/// Longest time that a watch waits for changes. A configuration has to be in force within 2 s of
+/// its acceptance, even if a watch falls silent. This time, the response timeout and another call
+/// add up to 1.7 s.
+const WATCH_TIME: Duration = Duration::from_millis(1_200);
+
+/// Time that a call may take on top of its own wait.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Time between two checks whether this entry has to read the store.
+const READER_CHECK: Duration = Duration::from_millis(100);
+
+/// Pause after a response, so that the next one carries several changes: servers that fail together
+/// are restarted together, and each store call has a cost.
+const COALESCE: Duration = Duration::from_millis(30);
+
+/// Position of this entry in the store's history.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+enum Position {
+    /// Nothing has been read.
+    Unknown,
+    /// The store no longer has the changes after the last known revision.
+    Compacted,
+    /// All changes up to this revision are known.
+    At(u64),
+}
+
+impl Position {
+    /// Returns the later one of this position and a revision up to which all changes are known.
+    fn at_least(self, revision: u64) -> Self {
+        match self {
+            Self::At(position) => Self::At(position.max(revision)),
+            Self::Unknown if revision > 0 => Self::At(revision),
+            Self::Unknown | Self::Compacted => self,
+        }
+    }
+}
+
+/// Watches the store until the task is aborted.
+pub async fn run<C: Codec, S: Store>(relay: Arc<Relay<C>>, store: S) {
+    let mut position = Position::Unknown;
+    let mut last_available = None;
+    let mut failures = 0_u32;
+    loop {
+        if !relay.must_read() {
+            relay.reads_store.store(false, Ordering::Relaxed);
+            // The store counts as available while other entries read it.
+            relay.set_store_available(true);
+            tokio::time::sleep(READER_CHECK).await;
+            continue;
+        }
+        // Peers may have sent changes that this entry has not read itself.
+        position = position.at_least(relay.changelog(|changelog| changelog.revision()));
+        relay.metrics.store_calls.inc();
+        let (next, reason) = match step(&relay, &store, position).await {
+            Ok(next) => (next, None),
+            Err(Error::HistoryGone) => (Position::Compacted, None),
+            Err(error) => (position, Some(error.to_string())),
+        };
+        position = next;
+        let available = reason.is_none();
+        // If the store refuses only this entry, it counts as available through the others.
+        let others_read = relay.others_read();
+        relay.set_store_available(available || others_read);
+        relay.reads_store.store(available, Ordering::Relaxed);
+        if last_available != Some(available) {
+            record_store_state(&relay, available, reason.as_deref().unwrap_or(""));
+            last_available = Some(available);
+        }
+        if available {
+            relay.servers_known();
+            failures = 0;
+            relay.streams_changed.notify_one();
+            tokio::time::sleep(COALESCE).await;
+        } else {
+            failures = failures.saturating_add(1);
+            // Jitter, so that entries do not retry at the same moment.
+            let part = rand::rng().random_range(0.5..=1.0);
+            tokio::time::sleep(retry_pause(failures, others_read).mul_f64(part)).await;
+        }
+    }
+}
+
+fn record_store_state<C: Codec>(relay: &Relay<C>, available: bool, reason: &str) {
+    relay.metrics.store_up.set(i64::from(available));
+    if available {
+        log::info!(dependency = "store"; "the store answers");
+    } else {
+        log::warn!(dependency = "store", reason; "the store does not answer");
+    }
+}
+
+/// Makes one store call and applies the returned changes.
+async fn step<C: Codec, S: Store>(
+    relay: &Relay<C>,
+    store: &S,
+    position: Position,
+) -> Result<Position, Error> {
+    match position {
+        Position::Unknown | Position::Compacted => {
+            let listing = with_timeout(Duration::ZERO, store.list("")).await?;
+            let mut listed = HashSet::new();
+            for item in listing.items {
+                if let Some(id) = relay.codec.server_id(&item.key) {
+                    listed.insert(Arc::from(id));
+                }
+                let change = Change {
+                    key: item.key,
+                    value: Some(item.value),
+                    revision: item.revision,
+                };
+                apply(relay, &change);
+            }
+            relay.retain_servers(&listed, listing.revision);
+            relay.changelog(|changelog| changelog.mark_complete(listing.revision));
+            Ok(Position::At(listing.revision))
+        }
+        Position::At(revision) => {
+            let watching = store.watch("", revision, WATCH_TIME);
+            let Changes { changes, revision } = with_timeout(WATCH_TIME, watching).await?;
+            // The first response after an outage carries the changes made during it.
+            relay.set_store_available(true);
+            for change in &changes {
+                apply(relay, change);
+            }
+            relay.changelog(|changelog| changelog.mark_complete(revision));
+            Ok(Position::At(revision))
+        }
+    }
+}
+
+/// Bounds a call that itself waits up to `wait`.
+pub(crate) async fn with_timeout<T>(
+    wait: Duration,
+    call: impl Future<Output = Result<T, Error>>,
+) -> Result<T, Error> {
+    let call = timeout(wait + RESPONSE_TIMEOUT, call).await;
+    call.unwrap_or_else(|_| {
+        Err(Error::Lost {
+            reason: "no answer in time".to_owned(),
+        })
+    })
+}
+
+/// Applies changes after a revision that a peer read.
+pub fn apply_updates<C: Codec>(relay: &Relay<C>, after: u64, updates: &Changes) {
+    let own = relay.changelog(|changelog| changelog.revision());
+    if own == 0 || updates.revision <= own {
+        return;
+    }
+    for change in &updates.changes {
+        apply(relay, change);
+    }
+    if after <= own {
+        relay.changelog(|changelog| changelog.mark_complete(updates.revision));
+    }
+}
+
+/// Applies one change.
+pub fn apply<C: Codec>(relay: &Relay<C>, change: &Change) {
+    relay.changelog(|changelog| changelog.insert(change));
+    match relay.codec.decode_record(change) {
+        Ok(Record::Configuration(table)) => relay.configure(table),
+        Ok(Record::Server { server, warmup }) => {
+            relay.register_server(server, warmup, change.revision);
+        }
+        Ok(Record::ServerRemoved { id, problem }) => {
+            if let Some(problem) = problem {
+                log::warn!(server = &*id, problem = problem.as_str(); "registration of a server not decoded");
+            }
+            relay.remove_server(&id, change.revision);
+        }
+        Ok(Record::Move { service, order }) => {
+            let revision = change.revision;
+            let order = order.map(|(version, lasts)| Order {
+                version,
+                revision,
+                lasts,
+            });
+            relay.apply_move_order(&service, order);
+        }
+        Ok(Record::MoveEnd {
+            service,
+            version,
+            good,
+        }) => relay.record_move_end(&service, &version, good, change.revision),
+        Ok(Record::Peer { name, address }) => relay.record_peer(&name, address),
+        Ok(Record::Other) => {}
+        Err(invalid) => {
+            log::error!(
+                key = change.key.as_str(), revision = change.revision,
+                problem = invalid.to_string().as_str();
+                "configuration not used; the one before stays in force"
+            );
+        }
+    }
+}
