--- a/programs/tests/plain_services.rs
+++ b/programs/tests/plain_services.rs
@@ -63,13 +63,13 @@
     });
     let address = cluster.entries[0].addresses.callers;
     let mut stopped = open(address, 4, "held").await;
-    wait("the answer is held", || budget.held() >= ANSWER)
+    wait("the answer is held", || budget.reserved() >= ANSWER)
         .await
         .expect("it is held");
     let refused = act(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
     assert!(!cluster.services[0].service.runs().contains_key("no room"));
-    wait("the room is given back", || budget.held() == 0)
+    wait("the room is given back", || budget.reserved() == 0)
         .await
         .expect("it is given back");
     assert_eq!(act(&cluster, "room").await, (200, "ran".to_owned()));
@@ -89,7 +89,7 @@
     for index in 0..8 {
         let ran = act(&cluster, &format!("large {index}")).await;
         assert_eq!(ran, (200, "ran".to_owned()));
-        wait("the room is given back", || budget.held() == 0)
+        wait("the room is given back", || budget.reserved() == 0)
             .await
             .expect("it is given back");
     }
@@ -101,12 +101,12 @@
     let budget = &cluster.entries[0].context.calls.budget;
     let address = cluster.entries[0].addresses.callers;
     let mut stalled = open(address, ANSWER, "only the start").await;
-    wait("room is held for the body", || budget.held() >= ANSWER)
+    wait("room is held for the body", || budget.reserved() >= ANSWER)
         .await
         .expect("it is held");
     let refused = act(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
-    wait("the room is given back", || budget.held() == 0)
+    wait("the room is given back", || budget.reserved() == 0)
         .await
         .expect("it is given back");
     assert_eq!(act(&cluster, "room").await, (200, "ran".to_owned()));
--- a/relay/src/intake.rs
+++ b/relay/src/intake.rs
@@ -11,8 +11,8 @@
 use medlarfall_coordination::routing::{Account, Route, Table};
 use xxhash_rust::xxh3::xxh3_64;
 
-use medlarfall_runtime::budget::Hold;
-use medlarfall_runtime::http::read_within;
+use medlarfall_runtime::budget::Reservation;
+use medlarfall_runtime::http::read_body;
 
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::Original;
@@ -55,7 +55,7 @@
     /// When its answer must have come.
     pub deadline: Duration,
     /// Memory of its body.
-    pub hold: Hold,
+    pub hold: Reservation,
 }
 
 impl Job {
@@ -140,10 +140,10 @@
         return Err(Refusal::come_back(Reason::Stopping, ELSEWHERE_PAUSE));
     }
     let patience = caller.patience.unwrap_or(route.timeout);
-    let body = read_within(body, table.limits.body_bytes, &relay.memory).await;
+    let body = read_body(body, table.limits.body_bytes, &relay.memory).await;
     let (body, hold) = match body {
         Ok(Some(body)) => body,
-        Ok(None) if relay.memory.free() < table.limits.body_bytes => {
+        Ok(None) if relay.memory.available() < table.limits.body_bytes => {
             return Err(Refusal::come_back(Reason::Memory, CONFIGURATION_PAUSE));
         }
         Ok(None) => return Err(Refusal::new(Reason::BodyTooLarge)),
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use medlarfall_runtime::logging::Lost;
+use medlarfall_runtime::logging::Losses;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -256,7 +256,7 @@
     }
 
     /// Takes in what is measured when the metrics are asked for.
-    pub fn set(&self, figures: &Figures, log: Lost) {
+    pub fn set(&self, figures: &Figures, log: Losses) {
         let age = |kind, age: Duration| {
             let gauge = self.age.get_or_create(&OfKind { kind }).clone();
             gauge.set(age.as_secs_f64());
@@ -271,7 +271,7 @@
             let gauge = self.servers.get_or_create(&OfService { service }).clone();
             gauge.set(whole(*count));
         }
-        for (kind, lines) in [("folded", log.folded), ("dropped", log.dropped)] {
+        for (kind, lines) in [("folded", log.rate_limited), ("dropped", log.dropped)] {
             let counter = self.log_lines_lost.get_or_create(&OfKind { kind }).clone();
             counter.inc_by(lines.saturating_sub(counter.get()));
         }
--- a/relay/src/state/figures.rs
+++ b/relay/src/state/figures.rs
@@ -22,7 +22,7 @@
         let figures = self.beliefs(|beliefs| Figures {
             configuration_age: now.saturating_sub(beliefs.table_at),
             servers_age: now.saturating_sub(beliefs.servers_at),
-            held_bytes: self.memory.held(),
+            held_bytes: self.memory.reserved(),
             entries: beliefs.peers.len(),
             servers: beliefs
                 .backends
@@ -30,7 +30,7 @@
                 .map(|(service, backends)| (service.to_string(), backends.len()))
                 .collect(),
         });
-        self.metrics.set(&figures, logging::lost());
+        self.metrics.set(&figures, logging::losses());
         self.metrics.text()
     }
 }
--- a/runtime/src/budget.rs
+++ b/runtime/src/budget.rs
@@ -13,7 +13,7 @@
 
 /// Bytes taken from a budget, given back when the last clone is dropped.
 #[derive(Clone, Debug)]
-pub struct Hold {
+pub struct Reservation {
     permit: Arc<OwnedSemaphorePermit>,
 }
 
@@ -30,17 +30,17 @@
 
     /// Takes bytes, or nothing if fewer are free.
     #[must_use]
-    pub fn take(&self, bytes: usize) -> Option<Hold> {
+    pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let bytes = u32::try_from(bytes).ok()?;
         let permit = Arc::clone(&self.free).try_acquire_many_owned(bytes).ok()?;
-        Some(Hold {
+        Some(Reservation {
             permit: Arc::new(permit),
         })
     }
 
     /// Takes more bytes into a hold that has no clone; returns whether they were free.
     #[must_use]
-    pub fn extend(&self, hold: &mut Hold, bytes: usize) -> bool {
+    pub fn extend(&self, hold: &mut Reservation, bytes: usize) -> bool {
         let Ok(bytes) = u32::try_from(bytes) else {
             return false;
         };
@@ -56,13 +56,13 @@
 
     /// Returns how many bytes are free.
     #[must_use]
-    pub fn free(&self) -> usize {
+    pub fn available(&self) -> usize {
         self.free.available_permits()
     }
 
     /// Returns how many bytes are taken.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn reserved(&self) -> usize {
         self.limit - self.free.available_permits()
     }
 }
--- a/runtime/src/http.rs
+++ b/runtime/src/http.rs
@@ -14,7 +14,7 @@
 use hyper_util::rt::{TokioExecutor, TokioTimer};
 use snafu::Snafu;
 
-use crate::budget::{Budget, Hold};
+use crate::budget::{Budget, Reservation};
 
 /// Longest time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -111,10 +111,7 @@
     /// # Errors
     ///
     /// Returns whether the request may have reached the other side.
-    pub async fn send_whole(
-        &self,
-        request: Request<Full<Bytes>>,
-    ) -> Result<(Parts, Bytes), Failure> {
+    pub async fn fetch(&self, request: Request<Full<Bytes>>) -> Result<(Parts, Bytes), Failure> {
         let (parts, body) = self.send(request).await?.into_parts();
         let body = Limited::new(body, WHOLE_LIMIT).collect().await;
         match body {
@@ -132,16 +129,16 @@
 /// # Errors
 ///
 /// Returns that the body did not come whole.
-pub async fn read_within(
+pub async fn read_body(
     mut body: Incoming,
     limit: usize,
     budget: &Budget,
-) -> Result<Option<(Bytes, Hold)>, Failure> {
+) -> Result<Option<(Bytes, Reservation)>, Failure> {
     let declared = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if declared > limit {
         return Ok(None);
     }
-    let Some(mut hold) = budget.take(declared) else {
+    let Some(mut hold) = budget.reserve(declared) else {
         return Ok(None);
     };
     let mut bytes = BytesMut::with_capacity(declared);
--- a/runtime/src/logging.rs
+++ b/runtime/src/logging.rs
@@ -8,7 +8,7 @@
 pub mod bounded;
 pub mod fold;
 
-pub use bounded::{Lost, lost};
+pub use bounded::{Losses, losses};
 
 /// Where log lines go.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/runtime/src/logging/bounded.rs
+++ b/runtime/src/logging/bounded.rs
@@ -22,18 +22,18 @@
 
 /// Lines that were not written since the start of the process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Lost {
+pub struct Losses {
     /// Lines beyond what one place may write in a second.
-    pub folded: u64,
+    pub rate_limited: u64,
     /// Lines that found the buffer full.
     pub dropped: u64,
 }
 
 /// Returns how many lines were not written.
 #[must_use]
-pub fn lost() -> Lost {
-    Lost {
-        folded: FOLDED.load(Ordering::Relaxed),
+pub fn losses() -> Losses {
+    Losses {
+        rate_limited: FOLDED.load(Ordering::Relaxed),
         dropped: DROPPED.load(Ordering::Relaxed),
     }
 }
--- a/serving/src/backend.rs
+++ b/serving/src/backend.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::utils::budget::{Budget, Hold};
+use crate::utils::budget::{Budget, Reservation};
 use crate::utils::http::Failure;
 
 pub mod http;
@@ -198,7 +198,7 @@
     /// Whether the body was over the limit or the budget.
     pub oversized: bool,
     /// What the body takes from the budget.
-    pub hold: Option<Hold>,
+    pub hold: Option<Reservation>,
     /// Whether the service says that it did not run the call.
     pub not_run: bool,
 }
--- a/serving/src/backend/http.rs
+++ b/serving/src/backend/http.rs
@@ -71,7 +71,7 @@
         &self,
         request: Request<http_body_util::Full<Bytes>>,
     ) -> Result<T, Error> {
-        let (parts, body) = self.pool.send_whole(request).await?;
+        let (parts, body) = self.pool.fetch(request).await?;
         match parts.status {
             StatusCode::OK => {
                 serde_json::from_slice(&body).map_err(|error| lost(error.to_string()))
@@ -131,7 +131,7 @@
 
     async fn order(&self, server: &Server, order: &Order) -> Result<Ordered, Error> {
         let request = post(server, "/orders", order)?;
-        let (parts, body) = self.pool.send_whole(request).await?;
+        let (parts, body) = self.pool.fetch(request).await?;
         match parts.status {
             StatusCode::OK => serde_json::from_slice(&body)
                 .map(Ordered::Done)
@@ -168,7 +168,7 @@
         if !own {
             return Err(lost("the answer belongs to another request".to_owned()));
         }
-        let body = http::read_within(body, call.answer_limit, &call.budget).await?;
+        let body = http::read_body(body, call.answer_limit, &call.budget).await?;
         let oversized = body.is_none();
         let (body, hold) = body.map_or((Bytes::new(), None), |(body, hold)| (body, Some(hold)));
         Ok(Reply {
--- a/serving/src/modules/callers/answer.rs
+++ b/serving/src/modules/callers/answer.rs
@@ -9,7 +9,7 @@
 use futures::stream;
 use tokio::sync::oneshot;
 
-use crate::utils::budget::Hold;
+use crate::utils::budget::Reservation;
 
 /// Largest piece that is given to the connection at once, in bytes.
 const PIECE: usize = 64 << 10;
@@ -17,14 +17,14 @@
 /// What is left of an answer.
 struct Rest {
     bytes: Bytes,
-    _hold: Option<Hold>,
+    _hold: Option<Reservation>,
 }
 
 /// Returns the stream of an answer; what was not read within `timeout` is dropped and its room
 /// given back, and the connection is cut.
 pub(super) fn stream(
     body: Bytes,
-    hold: Option<Hold>,
+    hold: Option<Reservation>,
     timeout: Duration,
 ) -> impl Stream<Item = io::Result<Bytes>> + Send + 'static {
     let rest = Rest {
--- a/serving/src/modules/callers/services.rs
+++ b/serving/src/modules/callers/services.rs
@@ -15,7 +15,7 @@
 use crate::context::Context;
 use crate::modules::calls::{self, Order};
 use crate::modules::claims;
-use crate::utils::budget::Hold;
+use crate::utils::budget::Reservation;
 
 /// Header that carries the caller's identifier of a call.
 const IDENTIFIER: &str = "idempotency-key";
@@ -135,15 +135,15 @@
     }
 
     /// Takes room for a request's body.
-    fn room(&self, request: &Request) -> Result<Hold, Problem> {
+    fn room(&self, request: &Request) -> Result<Reservation, Problem> {
         let limit = self.context.settings.callers.body_limit;
         let chunked = request.headers().contains_key("transfer-encoding");
         let unknown = if chunked { limit } else { 0 };
         let declared = request.header::<usize>("content-length").unwrap_or(unknown);
         let budget = &self.context.calls.budget;
         // Room for the answer is looked for before the call runs, while refusing it is harmless.
-        let answerable = budget.free() >= self.context.settings.services.answer_limit;
-        let hold = budget.take(declared.min(limit));
+        let answerable = budget.available() >= self.context.settings.services.answer_limit;
+        let hold = budget.reserve(declared.min(limit));
         hold.filter(|_| answerable).ok_or_else(|| {
             let message =
                 "this entry holds too many bodies and answers; try again later or at another entry";
--- a/serving/src/platform/http.rs
+++ b/serving/src/platform/http.rs
@@ -69,10 +69,7 @@
             .uri(format!("http://{}{path}", self.address))
             .header(CALLER, self.caller.as_ref());
         let request = http::body(request, body).map_err(|error| unavailable(&error))?;
-        let sent = self
-            .pool
-            .send_whole(request)
-            .in_span(telemetry::hop("store"));
+        let sent = self.pool.fetch(request).in_span(telemetry::hop("store"));
         let answer = tokio::time::timeout(timeout, sent).await;
         match answer {
             Ok(Ok((parts, body))) => Ok((parts.status, body)),
