--- a/runtime/src/budget.rs
+++ b/runtime/src/budget.rs
@@ -1,17 +1,17 @@
-//! A budget of bytes that may be held at once.
+//! Limits how many bytes of memory may be in use at the same time.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A budget of bytes.
+/// A limit on the bytes that may be reserved at the same time.
 #[derive(Clone, Debug)]
 pub struct Budget {
-    free: Arc<Semaphore>,
+    available: Arc<Semaphore>,
     limit: usize,
 }
 
-/// Bytes taken from a budget, given back when the last clone is dropped.
+/// Bytes reserved from a budget. They return to it when the last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Reservation {
     permit: Arc<OwnedSemaphorePermit>,
@@ -23,29 +23,32 @@
     pub fn new(limit: usize) -> Self {
         let limit = limit.min(Semaphore::MAX_PERMITS);
         Self {
-            free: Arc::new(Semaphore::new(limit)),
+            available: Arc::new(Semaphore::new(limit)),
             limit,
         }
     }
 
-    /// Takes bytes, or nothing if fewer are free.
+    /// Reserves `bytes`, or returns `None` if fewer are available.
     #[must_use]
     pub fn reserve(&self, bytes: usize) -> Option<Reservation> {
         let bytes = u32::try_from(bytes).ok()?;
-        let permit = Arc::clone(&self.free).try_acquire_many_owned(bytes).ok()?;
+        let permit = Arc::clone(&self.available)
+            .try_acquire_many_owned(bytes)
+            .ok()?;
         Some(Reservation {
             permit: Arc::new(permit),
         })
     }
 
-    /// Takes more bytes into a hold that has no clone; returns whether they were free.
+    /// Adds `bytes` to a reservation that has no clones. Returns false, and reserves nothing, if
+    /// it has clones or fewer bytes are available.
     #[must_use]
-    pub fn extend(&self, hold: &mut Reservation, bytes: usize) -> bool {
+    pub fn extend(&self, reservation: &mut Reservation, bytes: usize) -> bool {
         let Ok(bytes) = u32::try_from(bytes) else {
             return false;
         };
-        let more = Arc::clone(&self.free).try_acquire_many_owned(bytes);
-        match (Arc::get_mut(&mut hold.permit), more) {
+        let more = Arc::clone(&self.available).try_acquire_many_owned(bytes);
+        match (Arc::get_mut(&mut reservation.permit), more) {
             (Some(permit), Ok(more)) => {
                 permit.merge(more);
                 true
@@ -54,15 +57,15 @@
         }
     }
 
-    /// Returns how many bytes are free.
+    /// Returns how many bytes are not reserved.
     #[must_use]
     pub fn available(&self) -> usize {
-        self.free.available_permits()
+        self.available.available_permits()
     }
 
-    /// Returns how many bytes are taken.
+    /// Returns how many bytes are reserved.
     #[must_use]
     pub fn reserved(&self) -> usize {
-        self.limit - self.free.available_permits()
+        self.limit - self.available.available_permits()
     }
 }
--- a/runtime/src/clock.rs
+++ b/runtime/src/clock.rs
@@ -1,17 +1,17 @@
-//! The runtime's clock, as a duration since the start of the entry.
+//! A monotonic clock that gives the time as a duration since its creation.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Measures the time since an origin; tests pause and advance it with the runtime's clock.
+/// Measures the time since an origin. It follows Tokio's clock, so tests can pause and advance it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// Returns a clock whose origin is now.
+    /// Returns a clock whose origin is the current time.
     #[must_use]
     pub fn start() -> Self {
         Self {
@@ -25,7 +25,7 @@
         self.origin.elapsed()
     }
 
-    /// Returns the instant at a time since the origin.
+    /// Converts a time since the origin to an instant.
     #[must_use]
     pub fn instant(&self, time: Duration) -> Instant {
         self.origin + time
--- a/runtime/src/http.rs
+++ b/runtime/src/http.rs
@@ -1,4 +1,5 @@
-//! An HTTP client that says whether a failed request may have reached the other side.
+//! An HTTP client whose errors distinguish requests that were not sent from requests that the server
+//! may have received.
 
 use std::error::Error as _;
 use std::time::Duration;
@@ -16,36 +17,36 @@
 
 use crate::budget::{Budget, Reservation};
 
-/// Longest time to connect.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Header that carries a W3C trace context.
 pub const TRACEPARENT: &str = "traceparent";
 
-/// How long an idle connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Largest answer that is read as a whole, in bytes.
-const WHOLE_LIMIT: usize = 32 << 20;
+/// Largest response body that [`Pool::fetch`] reads, in bytes.
+const FETCH_LIMIT: usize = 32 << 20;
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Failure {
-    /// No byte of the request was sent.
+    /// The connection could not be opened; no byte of the request was sent.
     #[snafu(display("not sent: {reason}"))]
     NotSent {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The request may have been received and carried out.
+    /// The response did not arrive; the server may have received and executed the request.
     #[snafu(display("answer lost: {reason}"))]
     Lost {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
 }
 
-/// A pool of connections.
+/// An HTTP client with a pool of connections.
 #[derive(Clone, Debug)]
 pub struct Pool {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -59,13 +60,13 @@
 }
 
 impl Pool {
-    /// Returns a pool without connections.
+    /// Returns a pool whose requests carry no trace context.
     #[must_use]
     pub fn new() -> Self {
         Self::traced(|| None)
     }
 
-    /// Returns a pool without connections that sends the trace context that `traceparent` returns.
+    /// Returns a pool whose requests carry the trace context that `traceparent` returns.
     #[must_use]
     pub fn traced(traceparent: fn() -> Option<String>) -> Self {
         let mut connector = HttpConnector::new();
@@ -82,11 +83,11 @@
         }
     }
 
-    /// Sends a request and returns the answer, whose body is still to be read.
+    /// Sends a request and returns the response, whose body has not been read yet.
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have reached the other side.
+    /// Fails if no response arrived; the error tells whether the server may have got the request.
     pub async fn send(
         &self,
         mut request: Request<Full<Bytes>>,
@@ -106,14 +107,14 @@
         })
     }
 
-    /// Sends a request and returns the whole answer.
+    /// Sends a request and reads the whole response.
     ///
     /// # Errors
     ///
-    /// Returns whether the request may have reached the other side.
+    /// Fails if no response arrived; the error tells whether the server may have got the request.
     pub async fn fetch(&self, request: Request<Full<Bytes>>) -> Result<(Parts, Bytes), Failure> {
         let (parts, body) = self.send(request).await?.into_parts();
-        let body = Limited::new(body, WHOLE_LIMIT).collect().await;
+        let body = Limited::new(body, FETCH_LIMIT).collect().await;
         match body {
             Ok(body) => Ok((parts, body.to_bytes())),
             Err(error) => Err(Failure::Lost {
@@ -123,12 +124,12 @@
     }
 }
 
-/// Reads a body of at most `limit` bytes whose bytes are taken from `budget`; returns nothing in
-/// place of a larger one, or of one that the budget has no room for.
+/// Reads a body and reserves its bytes from `budget`. Returns `None` if the body is larger than
+/// `limit` bytes or than what the budget has available.
 ///
 /// # Errors
 ///
-/// Returns that the body did not come whole.
+/// Fails if the body is incomplete.
 pub async fn read_body(
     mut body: Incoming,
     limit: usize,
@@ -138,7 +139,7 @@
     if declared > limit {
         return Ok(None);
     }
-    let Some(mut hold) = budget.reserve(declared) else {
+    let Some(mut reservation) = budget.reserve(declared) else {
         return Ok(None);
     };
     let mut bytes = BytesMut::with_capacity(declared);
@@ -149,19 +150,19 @@
         let data = frame.into_data().unwrap_or_default();
         let length = bytes.len() + data.len();
         let more = length.saturating_sub(declared.max(bytes.len()));
-        if length > limit || !budget.extend(&mut hold, more) {
+        if length > limit || !budget.extend(&mut reservation, more) {
             return Ok(None);
         }
         bytes.extend_from_slice(&data);
     }
-    Ok(Some((bytes.freeze(), hold)))
+    Ok(Some((bytes.freeze(), reservation)))
 }
 
-/// Ends a request with its body.
+/// Adds the body to a request builder and returns the finished request.
 ///
 /// # Errors
 ///
-/// Returns the error of a malformed address or header.
+/// Fails if the builder was given a malformed URI or header.
 pub fn body(
     builder: Builder,
     body: impl Into<Bytes>,
--- a/runtime/src/logging.rs
+++ b/runtime/src/logging.rs
@@ -1,4 +1,4 @@
-//! Where log lines go.
+//! Starts logging as JSON lines, on standard output or standard error.
 
 use log::LevelFilter;
 use logforth::append;
@@ -6,21 +6,21 @@
 use logforth::layout::JsonLayout;
 
 pub mod bounded;
-pub mod fold;
+pub mod rate_limit;
 
 pub use bounded::{Losses, losses};
 
-/// Where log lines go.
+/// Destination of log lines.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// Standard error, at once.
+    /// Standard error, written by the thread that logs.
     Stderr,
-    /// Standard output, by a thread of its own, so that a slow reader blocks no request.
+    /// Standard output, written by a separate thread, so that a slow reader blocks no request.
     Stdout,
 }
 
-/// Starts logging as JSON lines at `level`; returns false, and changes nothing, if logging has been
-/// started before.
+/// Starts logging as JSON lines at `level`. Returns false, and changes nothing, if logging has
+/// already been started.
 #[must_use]
 pub fn start(level: LevelFilter, output: Output) -> bool {
     logforth::starter_log::builder()
@@ -40,10 +40,10 @@
         .is_ok()
 }
 
-/// Returns the filter for a level; libraries only warn.
+/// Returns the filter that admits `level` from this project's crates and warnings from libraries.
 fn filter(level: LevelFilter) -> String {
     let level = level.as_str().to_lowercase();
-    let own = [
+    let own_targets = [
         "medlarfall",
         "medlarfall_platform",
         "medlarfall_relay",
@@ -52,6 +52,6 @@
         "medlarfall_standin",
         "span",
     ];
-    let own = own.map(|target| format!("{target}={level}"));
-    format!("warn,{}", own.join(","))
+    let own_targets = own_targets.map(|target| format!("{target}={level}"));
+    format!("warn,{}", own_targets.join(","))
 }
--- a/runtime/src/logging/bounded.rs
+++ b/runtime/src/logging/bounded.rs
@@ -1,4 +1,5 @@
-//! Writes log lines on a thread of its own, within bounds, and tells what was left out.
+//! A log appender that never blocks: a bounded queue and a rate limit per call site, in front of a
+//! writer thread. Lines that are not written are counted and reported in the log.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -8,57 +9,58 @@
 use logforth::record::{Level, Record};
 use logforth::{Append, Diagnostic, Error};
 
-use super::fold::{Fold, Place};
+use super::rate_limit::{CallSite, RateLimiter};
 use crate::clock::Clock;
 
-/// Lines that may wait for a slow reader; further ones are dropped.
-pub const LINES_WAITING: usize = 8_192;
+/// Lines that may wait in the queue for a slow reader; further lines are dropped.
+pub const QUEUE_CAPACITY: usize = 8_192;
 
-/// Lines that were folded since the start of the process.
-static FOLDED: AtomicU64 = AtomicU64::new(0);
+/// Lines beyond the rate limit of their call site since the start of the process.
+static RATE_LIMITED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were dropped since the start of the process.
+/// Lines dropped because the queue was full, since the start of the process.
 static DROPPED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were not written since the start of the process.
+/// Numbers of log lines that were not written since the start of the process.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Losses {
-    /// Lines beyond what one place may write in a second.
+    /// Lines beyond the rate limit of their call site.
     pub rate_limited: u64,
-    /// Lines that found the buffer full.
+    /// Lines that arrived while the queue was full.
     pub dropped: u64,
 }
 
-/// Returns how many lines were not written.
+/// Returns how many lines were not written since the start of the process.
 #[must_use]
 pub fn losses() -> Losses {
     Losses {
-        rate_limited: FOLDED.load(Ordering::Relaxed),
+        rate_limited: RATE_LIMITED.load(Ordering::Relaxed),
         dropped: DROPPED.load(Ordering::Relaxed),
     }
 }
 
-/// An appender that never blocks: lines wait for a thread that writes them.
+/// An appender that puts lines into a queue, from which a separate thread writes them.
 #[derive(Debug)]
 pub struct Appender {
-    lines: Async,
-    waiting: Arc<AtomicUsize>,
-    untold: AtomicU64,
-    fold: Mutex<Fold>,
+    queue: Async,
+    queued: Arc<AtomicUsize>,
+    /// Dropped lines that the log does not yet report.
+    unreported_drops: AtomicU64,
+    rate_limiter: Mutex<RateLimiter>,
     clock: Clock,
 }
 
-/// Counts the lines that have been written.
+/// Appender of the writer thread: writes a line and takes it off the count of queued lines.
 #[derive(Debug)]
-struct Counted<A> {
+struct Writer<A> {
     inner: A,
-    waiting: Arc<AtomicUsize>,
+    queued: Arc<AtomicUsize>,
 }
 
-impl<A: Append> Append for Counted<A> {
+impl<A: Append> Append for Writer<A> {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let written = self.inner.append(record, diagnostics);
-        self.waiting.fetch_sub(1, Ordering::Relaxed);
+        self.queued.fetch_sub(1, Ordering::Relaxed);
         written
     }
 
@@ -68,41 +70,46 @@
 }
 
 impl Appender {
-    /// Returns an appender that hands lines to `inner`.
+    /// Returns an appender whose thread writes lines to `inner`.
     #[must_use]
     pub fn new<A: Append>(inner: A) -> Self {
-        let waiting = Arc::default();
-        let counted = Counted {
+        let queued = Arc::default();
+        let writer = Writer {
             inner,
-            waiting: Arc::clone(&waiting),
+            queued: Arc::clone(&queued),
         };
         Self {
-            lines: AsyncBuilder::new("log").append(counted).build(),
-            waiting,
-            untold: AtomicU64::new(0),
-            fold: Mutex::default(),
+            queue: AsyncBuilder::new("log").append(writer).build(),
+            queued,
+            unreported_drops: AtomicU64::new(0),
+            rate_limiter: Mutex::default(),
             clock: Clock::start(),
         }
     }
 
-    /// Hands on a line, unless too many wait.
-    fn hand_on(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        if self.waiting.load(Ordering::Relaxed) >= LINES_WAITING {
+    /// Puts a line into the queue, or drops and counts it if the queue is full.
+    fn enqueue(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
+        if self.queued.load(Ordering::Relaxed) >= QUEUE_CAPACITY {
             DROPPED.fetch_add(1, Ordering::Relaxed);
-            self.untold.fetch_add(1, Ordering::Relaxed);
+            self.unreported_drops.fetch_add(1, Ordering::Relaxed);
             return Ok(());
         }
-        self.waiting.fetch_add(1, Ordering::Relaxed);
-        self.lines.append(record, diagnostics)
+        self.queued.fetch_add(1, Ordering::Relaxed);
+        self.queue.append(record, diagnostics)
     }
 
-    /// Tells of lines that were left out before.
-    fn tell(&self, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
+    /// Writes a warning for each call site with suppressed lines, and one for dropped lines.
+    fn report_losses(&self, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let now = self.clock.now();
-        let told = |fold: &mut Fold| fold.told(now);
-        let folded = told(&mut self.fold.lock().unwrap_or_else(PoisonError::into_inner));
-        for ((file, line), count) in folded {
-            FOLDED.fetch_add(count, Ordering::Relaxed);
+        let take_suppressed = |limiter: &mut RateLimiter| limiter.take_suppressed(now);
+        let suppressed = take_suppressed(
+            &mut self
+                .rate_limiter
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        );
+        for ((file, line), count) in suppressed {
+            RATE_LIMITED.fetch_add(count, Ordering::Relaxed);
             let message = format_args!("{count} more lines of this place left out in a second");
             let record = Record::builder()
                 .level(Level::Warn)
@@ -111,11 +118,11 @@
                 .line(Some(line))
                 .payload(message)
                 .build();
-            self.hand_on(&record, diagnostics)?;
+            self.enqueue(&record, diagnostics)?;
         }
-        let room = self.waiting.load(Ordering::Relaxed) < LINES_WAITING;
-        let dropped = if room {
-            self.untold.swap(0, Ordering::Relaxed)
+        let has_room = self.queued.load(Ordering::Relaxed) < QUEUE_CAPACITY;
+        let dropped = if has_room {
+            self.unreported_drops.swap(0, Ordering::Relaxed)
         } else {
             0
         };
@@ -128,25 +135,28 @@
             .target_static(module_path!())
             .payload(message)
             .build();
-        self.hand_on(&record, diagnostics)
+        self.enqueue(&record, diagnostics)
     }
 }
 
 impl Append for Appender {
     fn append(&self, record: &Record, diagnostics: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
-        self.tell(diagnostics)?;
-        let place = record.file_static().zip(record.line());
-        let admitted = place.is_none_or(|place: Place| {
-            let mut fold = self.fold.lock().unwrap_or_else(PoisonError::into_inner);
-            fold.admit(place, self.clock.now())
+        self.report_losses(diagnostics)?;
+        let call_site = record.file_static().zip(record.line());
+        let admitted = call_site.is_none_or(|call_site: CallSite| {
+            let mut limiter = self
+                .rate_limiter
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
+            limiter.admit(call_site, self.clock.now())
         });
         if admitted {
-            self.hand_on(record, diagnostics)?;
+            self.enqueue(record, diagnostics)?;
         }
         Ok(())
     }
 
     fn flush(&self) -> Result<(), Error> {
-        self.lines.flush()
+        self.queue.flush()
     }
 }
--- a/runtime/src/store.rs
+++ b/runtime/src/store.rs
@@ -1,7 +1,7 @@
-//! The platform: a key-value service with compare-and-swap, leases and watches, and the instance
-//! list.
+//! The interface to the platform: a key-value store with compare-and-swap, leases and watches, and
+//! the list of instances.
 //!
-//! [`Store`] is the interface that the rest of the system uses; each platform has an adapter.
+//! The rest of the system uses the trait [`Store`]; an adapter for each platform implements it.
 
 use std::future::Future;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// A value under a key.
+/// A key with its value.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Item {
     /// The key.
@@ -20,23 +20,23 @@
     pub revision: u64,
 }
 
-/// The items under a prefix.
+/// The items whose keys start with a prefix.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Listing {
     /// The items.
     pub items: Vec<Item>,
-    /// Revision of the store at which they were read.
+    /// Revision of the store at which the items were read.
     pub revision: u64,
 }
 
-/// A change of one key; no value means that the key was deleted.
+/// A change of one key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
     /// The key.
     pub key: String,
-    /// The new value.
+    /// The new value; `None` if the key was deleted.
     pub value: Option<String>,
-    /// Revision of the store that the change made.
+    /// Revision of the store that the change created.
     pub revision: u64,
 }
 
@@ -45,11 +45,11 @@
 pub struct Changes {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
-    /// Revision of the store up to which they are complete.
+    /// Revision of the store up to which the changes are complete.
     pub revision: u64,
 }
 
-/// An instance on the platform's list.
+/// An instance on the platform's list of instances.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Instance {
@@ -57,7 +57,7 @@
     pub name: String,
     /// `engine`, `service` or `entry`.
     pub role: String,
-    /// Service that a backend server stands behind; empty for entries.
+    /// Service that a backend server belongs to; empty for entries.
     pub service: String,
     /// Version that a backend server serves; empty for entries.
     pub version: String,
@@ -67,9 +67,9 @@
     pub failure_domain: String,
     /// Region that the instance runs in.
     pub region: String,
-    /// Memory of an engine, in tokens; 0 for others.
+    /// KV-cache capacity of an engine, in tokens; 0 for other roles.
     pub memory_tokens: u64,
-    /// Whether the instance is leaving.
+    /// Whether the instance is shutting down and takes no new requests.
     pub leaving: bool,
 }
 
@@ -80,43 +80,44 @@
 /// Why a call to the platform failed.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// The call had no effect: it was refused, or never reached the platform.
+    /// The call had no effect: the platform refused it or did not receive it.
     #[snafu(display("the platform did not take the call: {reason}; try again when it is back"))]
     Unavailable {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The call may have taken effect: its answer was lost.
+    /// The call may have taken effect: its response was lost.
     #[snafu(display(
         "the platform's answer was lost: {reason}; read the key back before trying again"
     ))]
     Lost {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The key had another revision than the expected one.
+    /// The key does not have the expected revision.
     #[snafu(display("the key was changed by another; read it and try again"))]
     Conflict {
-        /// The item as it is now.
+        /// The current item; `None` if the key has no value.
         current: Option<Item>,
     },
-    /// The lease has ended.
+    /// The lease has expired or was revoked.
     #[snafu(display("the lease has ended; ask for a new one"))]
     LeaseEnded,
-    /// The changes after the revision of a watch are no longer kept.
+    /// The platform no longer has the changes after the revision that a watch started from.
     #[snafu(display("the platform no longer has the history; read the keys anew"))]
     HistoryGone,
-    /// The value is larger than the platform takes.
+    /// The value exceeds the size limit of the platform.
     #[snafu(display("the value is too large for the platform; make it smaller than 1 MiB"))]
     TooLarge,
 }
 
-/// The key-value service.
+/// The platform's key-value store and list of instances.
 pub trait Store: Clone + Send + Sync + 'static {
     /// Reads a key.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Item>, Error>> + Send;
 
-    /// Writes a key if its revision is `expected` (0: if it has no value) and returns the new one.
+    /// Writes a key if its revision is `expected` and returns the new revision. An `expected` of 0
+    /// means that the key must not exist.
     fn put(
         &self,
         key: &str,
@@ -125,13 +126,13 @@
         lease: Option<Lease>,
     ) -> impl Future<Output = Result<u64, Error>> + Send;
 
-    /// Deletes a key if its revision is `expected`.
+    /// Deletes a key if its revision is `expected` and returns the new revision of the store.
     fn delete(&self, key: &str, expected: u64) -> impl Future<Output = Result<u64, Error>> + Send;
 
-    /// Reads the keys that start with `prefix`.
+    /// Reads the items whose keys start with `prefix`.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Listing, Error>> + Send;
 
-    /// Waits for changes, after revision `after`, of keys that start with `prefix`.
+    /// Waits up to `timeout` for changes after revision `after` of keys that start with `prefix`.
     fn watch(
         &self,
         prefix: &str,
@@ -139,7 +140,7 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<Changes, Error>> + Send;
 
-    /// Asks for a lease that lasts `ttl` unless it is renewed.
+    /// Requests a lease that expires after `ttl` unless it is renewed.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<Lease, Error>> + Send;
 
     /// Renews a lease.
@@ -148,6 +149,6 @@
     /// Ends a lease.
     fn revoke(&self, lease: Lease) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// Reads the instance list.
+    /// Reads the list of instances.
     fn instances(&self) -> impl Future<Output = Result<Vec<Instance>, Error>> + Send;
 }
