--- a/relay/src/ingress.rs
+++ b/relay/src/ingress.rs
@@ -12,8 +12,8 @@
 use medlarfall_coordination::routing::{Account, Route, Table};
 use xxhash_rust::xxh3::xxh3_64;
 
-use medlarfall_runtime::budget::Hold;
-use medlarfall_runtime::http::read_within;
+use medlarfall_runtime::budget::Reservation;
+use medlarfall_runtime::http::read_body;
 
 use crate::answer::{Content, Reason, Refusal};
 use crate::attempt::Original;
@@ -58,7 +58,7 @@
     /// When its answer is due.
     pub deadline: Duration,
     /// Reserved memory for its body.
-    pub reservation: Hold,
+    pub reservation: Reservation,
 }
 
 impl Job {
@@ -146,10 +146,10 @@
         return Err(Refusal::with_retry(Reason::Stopping, ELSEWHERE_PAUSE));
     }
     let timeout = head.timeout.unwrap_or(route.timeout);
-    let body = read_within(body, table.limits.body_bytes, &relay.memory).await;
+    let body = read_body(body, table.limits.body_bytes, &relay.memory).await;
     let (body, reservation) = match body {
         Ok(Some(body)) => body,
-        Ok(None) if relay.memory.free() < table.limits.body_bytes => {
+        Ok(None) if relay.memory.available() < table.limits.body_bytes => {
             return Err(Refusal::with_retry(Reason::Memory, CONFIGURATION_PAUSE));
         }
         Ok(None) => return Err(Refusal::new(Reason::BodyTooLarge)),
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-use medlarfall_runtime::logging::Lost;
+use medlarfall_runtime::logging::Losses;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
 use prometheus_client::metrics::counter::Counter;
@@ -257,7 +257,7 @@
     }
 
     /// Sets the gauges, and the counters of lost log lines.
-    pub fn set_gauges(&self, gauges: &Gauges, log: Lost) {
+    pub fn set_gauges(&self, gauges: &Gauges, log: Losses) {
         let age = |kind, age: Duration| {
             let gauge = self.age.get_or_create(&KindLabels { kind }).clone();
             gauge.set(age.as_secs_f64());
@@ -275,7 +275,7 @@
                 .clone();
             gauge.set(signed(*count));
         }
-        for (kind, lines) in [("folded", log.folded), ("dropped", log.dropped)] {
+        for (kind, lines) in [("folded", log.rate_limited), ("dropped", log.dropped)] {
             let counter = self
                 .log_lines_lost
                 .get_or_create(&KindLabels { kind })
--- a/relay/src/state/gauges.rs
+++ b/relay/src/state/gauges.rs
@@ -22,7 +22,7 @@
         let gauges = self.view(|view| Gauges {
             configuration_age: now.saturating_sub(view.table_at),
             servers_age: now.saturating_sub(view.servers_confirmed_at),
-            held_bytes: self.memory.held(),
+            held_bytes: self.memory.reserved(),
             entries: view.peers.len(),
             servers: view
                 .backends
@@ -30,7 +30,7 @@
                 .map(|(service, backends)| (service.to_string(), backends.len()))
                 .collect(),
         });
-        self.metrics.set_gauges(&gauges, logging::lost());
+        self.metrics.set_gauges(&gauges, logging::losses());
         self.metrics.text()
     }
 }
