--- a/coordination/src/claim.rs
+++ b/coordination/src/claim.rs
@@ -32,15 +32,15 @@
 pub mod record;
 
 pub use identifier::Identifier;
-pub use ledger::{Ledger, Word};
-pub use message::{Action, Input, Outcome, Reason, Remainder};
+pub use ledger::{Ledger, Status};
+pub use message::{Action, Cleanup, Input, Outcome, Reason};
 pub use record::{Answer, Body, Claimer, Held, Record};
 
 /// Bounds on one call.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Longest time from asking for a claim to the first byte, without reading the claim again.
-    pub trust: Duration,
+    pub confirmation_ttl: Duration,
     /// Most calls to the store and to claimers before the call is given up.
     pub rounds: u32,
 }
@@ -48,7 +48,7 @@
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            trust: Duration::from_secs(2),
+            confirmation_ttl: Duration::from_secs(2),
             rounds: 8,
         }
     }
@@ -60,11 +60,11 @@
     Writing { expected: u64 },
     Settling { expected: u64 },
     Asking { revision: u64 },
-    Verifying { word: Option<Word> },
+    Verifying { word: Option<Status> },
     Confirmed { revision: u64 },
     Rechecking,
     Sent { revision: u64 },
-    Ended { remainder: Remainder, word: Word },
+    Ended { remainder: Cleanup, word: Status },
 }
 
 /// One call under a caller's identifier.
@@ -118,19 +118,19 @@
 
     /// Returns what is left to do in the store once the call has ended.
     #[must_use]
-    pub fn remainder(&self) -> Remainder {
+    pub fn cleanup(&self) -> Cleanup {
         match &self.phase {
             Phase::Ended { remainder, .. } => remainder.clone(),
-            _ => Remainder::Nothing,
+            _ => Cleanup::Nothing,
         }
     }
 
     /// Returns what this entry may tell others about the call.
     #[must_use]
-    pub fn word(&self) -> Word {
+    pub fn status(&self) -> Status {
         match &self.phase {
             Phase::Ended { word, .. } => word.clone(),
-            _ => Word::Running,
+            _ => Status::Running,
         }
     }
 
@@ -139,8 +139,8 @@
         let phase = std::mem::replace(
             &mut self.phase,
             Phase::Ended {
-                remainder: Remainder::Nothing,
-                word: Word::Unknown,
+                remainder: Cleanup::Nothing,
+                word: Status::Unknown,
             },
         );
         match (phase, input) {
@@ -162,12 +162,16 @@
             (Phase::Rechecking, Input::Found(_)) => self.not_run(Reason::ClaimLost),
             (Phase::Sent { revision }, Input::Replied(answer)) => self.ran(revision, answer),
             (Phase::Sent { revision } | Phase::Confirmed { revision }, Input::Refused) => {
-                let remainder = Remainder::Delete { expected: revision };
-                self.end(Outcome::NotRun(Reason::Refused), remainder, Word::NeverSent)
+                let remainder = Cleanup::Delete { expected: revision };
+                self.end(
+                    Outcome::NotRun(Reason::Refused),
+                    remainder,
+                    Status::NeverSent,
+                )
             }
             (Phase::Sent { .. }, _) => {
                 let outcome = Outcome::Unknown(Reason::AnswerLost);
-                self.end(outcome, Remainder::Nothing, Word::Unknown)
+                self.end(outcome, Cleanup::Nothing, Status::Unknown)
             }
             // Nothing that comes after the end may make it look as if the call had not run.
             (ended @ Phase::Ended { .. }, _) => {
@@ -233,7 +237,7 @@
                     self.phase = Phase::Asking {
                         revision: held.revision,
                     };
-                    Action::Ask(held.record.claimer)
+                    Action::QueryClaimer(held.record.claimer)
                 }
             },
         }
@@ -249,14 +253,14 @@
     }
 
     /// The claimer of a claim gave its word.
-    fn heed(&mut self, revision: u64, word: Option<Word>, now: Duration) -> Action {
+    fn heed(&mut self, revision: u64, word: Option<Status>, now: Duration) -> Action {
         match word {
-            Some(Word::Ran(answer)) => self.ran_before(answer),
-            Some(Word::NeverSent) => self.put(revision, now),
-            Some(Word::Running | Word::Unknown) | None if self.exhausted() => {
+            Some(Status::Ran(answer)) => self.ran_before(answer),
+            Some(Status::NeverSent) => self.put(revision, now),
+            Some(Status::Running | Status::Unknown) | None if self.exhausted() => {
                 self.unsure(word.as_ref())
             }
-            Some(Word::Running | Word::Unknown) | None => {
+            Some(Status::Running | Status::Unknown) | None => {
                 self.phase = Phase::Verifying { word };
                 Action::Read
             }
@@ -264,7 +268,7 @@
     }
 
     /// The claim was read once more because its claimer could not say whether the call ran.
-    fn verify(&mut self, word: Option<&Word>, found: Option<Held>) -> Action {
+    fn verify(&mut self, word: Option<&Status>, found: Option<Held>) -> Action {
         let answer = found
             .filter(|found| found.record.binding == self.record.binding)
             .and_then(|found| found.record.answer);
@@ -276,7 +280,7 @@
 
     /// The call is about to be sent.
     fn depart(&mut self, revision: u64, now: Duration) -> Action {
-        if now.saturating_sub(self.trusted_since) <= self.limits.trust {
+        if now.saturating_sub(self.trusted_since) <= self.limits.confirmation_ttl {
             self.phase = Phase::Sent { revision };
             return Action::Send;
         }
@@ -290,46 +294,46 @@
             answer: Some(answer.clone()),
             ..self.record.clone()
         };
-        let remainder = Remainder::Keep {
+        let remainder = Cleanup::Keep {
             record,
             expected: revision,
         };
-        self.end(Outcome::Ran, remainder, Word::Ran(answer))
+        self.end(Outcome::Ran, remainder, Status::Ran(answer))
     }
 
     /// The call ran before.
     fn ran_before(&mut self, answer: Answer) -> Action {
         let remainder = self.withdrawal();
-        self.end(Outcome::RanBefore(answer), remainder, Word::NeverSent)
+        self.end(Outcome::RanBefore(answer), remainder, Status::NeverSent)
     }
 
     /// The claimer's call may have run.
-    fn unsure(&mut self, word: Option<&Word>) -> Action {
+    fn unsure(&mut self, word: Option<&Status>) -> Action {
         let reason = match word {
-            Some(Word::Running) => Reason::StillRunning,
+            Some(Status::Running) => Reason::StillRunning,
             _ => Reason::ClaimerSilent,
         };
         let remainder = self.withdrawal();
-        self.end(Outcome::Unknown(reason), remainder, Word::NeverSent)
+        self.end(Outcome::Unknown(reason), remainder, Status::NeverSent)
     }
 
     /// The call was not sent and will not be.
     fn not_run(&mut self, reason: Reason) -> Action {
         let remainder = self.withdrawal();
-        self.end(Outcome::NotRun(reason), remainder, Word::NeverSent)
+        self.end(Outcome::NotRun(reason), remainder, Status::NeverSent)
     }
 
     /// Returns what is left of a call that was not sent.
-    fn withdrawal(&self) -> Remainder {
+    fn withdrawal(&self) -> Cleanup {
         if self.loose {
-            Remainder::Withdraw
+            Cleanup::Withdraw
         } else {
-            Remainder::Nothing
+            Cleanup::Nothing
         }
     }
 
     /// Ends the call.
-    fn end(&mut self, outcome: Outcome, remainder: Remainder, word: Word) -> Action {
+    fn end(&mut self, outcome: Outcome, remainder: Cleanup, word: Status) -> Action {
         self.phase = Phase::Ended { remainder, word };
         Action::Finish(outcome)
     }
--- a/coordination/src/claim/ledger.rs
+++ b/coordination/src/claim/ledger.rs
@@ -10,7 +10,7 @@
 /// A claimer's word on one of its calls.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Word {
+pub enum Status {
     /// It ran, and this was the answer.
     Ran(Answer),
     /// It was not sent under this claim and never will be: the claim may be taken over.
@@ -32,7 +32,7 @@
     address: Arc<str>,
     last: u64,
     running: BTreeSet<u64>,
-    ended: BTreeMap<u64, Word>,
+    ended: BTreeMap<u64, Status>,
     capacity: usize,
     bytes: usize,
     held: usize,
@@ -73,7 +73,7 @@
     }
 
     /// Closes a call with the word that is to be given on it.
-    pub fn close(&mut self, sequence: u64, word: Word) {
+    pub fn close(&mut self, sequence: u64, word: Status) {
         if !self.running.remove(&sequence) {
             return;
         }
@@ -89,15 +89,15 @@
 
     /// Returns this entry's word on a claim, or nothing if the claim is not this incarnation's.
     #[must_use]
-    pub fn word(&self, claimer: &Claimer) -> Option<Word> {
+    pub fn word(&self, claimer: &Claimer) -> Option<Status> {
         if claimer.entry != self.entry || claimer.incarnation != self.incarnation {
             return None;
         }
         if self.running.contains(&claimer.sequence) {
-            return Some(Word::Running);
+            return Some(Status::Running);
         }
         let word = self.ended.get(&claimer.sequence).cloned();
-        Some(word.unwrap_or(Word::Unknown))
+        Some(word.unwrap_or(Status::Unknown))
     }
 
     /// Returns how many calls have not ended.
@@ -114,9 +114,9 @@
 }
 
 /// Returns the bytes of the answer in a word.
-fn size(word: &Word) -> usize {
+fn size(word: &Status) -> usize {
     match word {
-        Word::Ran(Answer {
+        Status::Ran(Answer {
             body: Some(Body::Text(body) | Body::Hex(body)),
             ..
         }) => body.len(),
--- a/coordination/src/claim/message.rs
+++ b/coordination/src/claim/message.rs
@@ -1,6 +1,6 @@
 //! What a call is told, and what it decides.
 
-use super::{Answer, Claimer, Held, Record, Word};
+use super::{Answer, Claimer, Held, Record, Status};
 
 /// What happened.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -16,7 +16,7 @@
     /// The store did not take the call.
     Unavailable,
     /// The claimer gave its word, or nothing if it did not answer.
-    Word(Option<Word>),
+    Word(Option<Status>),
     /// A backend server is chosen and the first byte could go out now.
     Prepared,
     /// The call ran.
@@ -40,7 +40,7 @@
     /// Read the key.
     Read,
     /// Ask a claimer whether its call ran.
-    Ask(Claimer),
+    QueryClaimer(Claimer),
     /// Choose a backend server, then say [`Input::Prepared`].
     Prepare,
     /// Send the call now.
@@ -85,7 +85,7 @@
 
 /// What is left to do in the store after a call has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Remainder {
+pub enum Cleanup {
     /// Nothing.
     Nothing,
     /// Write the record with its answer if the revision is still `expected`.
--- a/coordination/src/journal.rs
+++ b/coordination/src/journal.rs
@@ -24,7 +24,7 @@
     /// The token is the next one and has been written to the journal: deliver it.
     Deliver,
     /// The token was delivered before: drop it.
-    Repeated,
+    Duplicate,
     /// The token comes from an attempt that is no longer current: drop it.
     Stale,
     /// Tokens are missing before this one: end the attempt and resume.
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
     /// The answer is whole.
-    Whole,
+    Complete,
     /// Tokens are missing: end the attempt and resume.
-    Short,
+    Incomplete,
     /// The end comes from an attempt that is no longer current: ignore it.
     Stale,
 }
@@ -103,7 +103,7 @@
         match index {
             _ if attempt.0 != self.attempt => Verdict::Stale,
             _ if self.ended => Verdict::Ended,
-            _ if index < next => Verdict::Repeated,
+            _ if index < next => Verdict::Duplicate,
             _ if index > next => Verdict::Gap,
             _ => {
                 self.tokens.push(token);
@@ -116,10 +116,10 @@
     pub fn end(&mut self, attempt: Attempt, length: u64) -> Ending {
         match length {
             _ if attempt.0 != self.attempt => Ending::Stale,
-            _ if length != self.next_index() => Ending::Short,
+            _ if length != self.next_index() => Ending::Incomplete,
             _ => {
                 self.ended = true;
-                Ending::Whole
+                Ending::Complete
             }
         }
     }
--- a/coordination/src/memory.rs
+++ b/coordination/src/memory.rs
@@ -190,7 +190,7 @@
     }
 
     /// Ends a loan that its borrower has returned; one that has ended before is ignored.
-    pub fn take_back(&mut self, key: LoanKey) {
+    pub fn end_loan(&mut self, key: LoanKey) {
         let Some(loan) = self.loans.remove(key) else {
             return;
         };
@@ -208,7 +208,7 @@
             .map(|(key, _)| key)
             .collect();
         for key in expired {
-            self.take_back(key);
+            self.end_loan(key);
         }
     }
 }
--- a/coordination/src/planned_stop.rs
+++ b/coordination/src/planned_stop.rs
@@ -112,7 +112,7 @@
 
 /// How a generation stands towards the stop of its server. Times are since one origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stand {
+pub struct Snapshot {
     /// When the stop came to be known.
     pub accepted: Duration,
     /// When the server stops.
@@ -145,7 +145,7 @@
 
     /// Decides what is to be done at `now`.
     #[must_use]
-    pub fn decide(&self, stand: &Stand, now: Duration) -> Decision {
+    pub fn decide(&self, stand: &Snapshot, now: Duration) -> Decision {
         let latest = self.latest(stand.date);
         if now >= latest {
             return Decision::MoveNow;
@@ -191,12 +191,12 @@
 /// Judges whether anything still holds a stop. Reports of what a server runs lag, so that nothing
 /// must have held it for a while.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Quiet {
+pub struct Completion {
     settle: Duration,
     since: Option<Duration>,
 }
 
-impl Quiet {
+impl Completion {
     /// Returns the judge of a stop that has finished once nothing held it for `settle`.
     #[must_use]
     pub fn new(settle: Duration) -> Self {
--- a/coordination/src/revision.rs
+++ b/coordination/src/revision.rs
@@ -154,7 +154,7 @@
 
     /// Returns the first message of an exchange.
     #[must_use]
-    pub fn hello(&self) -> Message<R, T> {
+    pub fn start_exchange(&self) -> Message<R, T> {
         Message::Root(self.root())
     }
 
--- a/coordination/tests/claim.rs
+++ b/coordination/tests/claim.rs
@@ -5,7 +5,7 @@
 
 use bolero::check;
 use medlarfall_coordination::claim::{
-    Action, Answer, Call, Claimer, Held, Input, Ledger, Limits, Outcome, Record, Remainder, Word,
+    Action, Answer, Call, Claimer, Cleanup, Held, Input, Ledger, Limits, Outcome, Record, Status,
 };
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -101,7 +101,7 @@
         let message = match action {
             Action::Put { record, expected } => Message::Put(record, expected),
             Action::Read => Message::Read,
-            Action::Ask(claimer) => Message::Ask(claimer),
+            Action::QueryClaimer(claimer) => Message::Ask(claimer),
             Action::Prepare => {
                 self.calls[index].prepared = true;
                 return;
@@ -128,12 +128,12 @@
         let running = &mut self.calls[index];
         running.outcome = Some(outcome);
         let claimer = running.call.claimer().clone();
-        self.ledgers[running.entry].close(claimer.sequence, running.call.word());
-        match running.call.remainder() {
-            Remainder::Nothing => {}
-            Remainder::Keep { record, expected } => self.fly(Message::Put(record, expected), None),
-            Remainder::Delete { expected } => self.fly(Message::Delete(expected), None),
-            Remainder::Withdraw => self.fly(Message::Withdraw(claimer), None),
+        self.ledgers[running.entry].close(claimer.sequence, running.call.status());
+        match running.call.cleanup() {
+            Cleanup::Nothing => {}
+            Cleanup::Keep { record, expected } => self.fly(Message::Put(record, expected), None),
+            Cleanup::Delete { expected } => self.fly(Message::Delete(expected), None),
+            Cleanup::Withdraw => self.fly(Message::Withdraw(claimer), None),
         }
     }
 
@@ -306,7 +306,7 @@
     for input in [Input::Lost, Input::Refused, Input::Prepared] {
         let action = call.step(input, Duration::ZERO);
         assert!(matches!(action, Action::Finish(Outcome::Unknown(_))));
-        assert_eq!(call.word(), Word::Unknown);
+        assert_eq!(call.status(), Status::Unknown);
     }
 }
 
@@ -411,8 +411,8 @@
     };
     let action = call.step(Input::Conflict(Some(held)), Duration::ZERO);
     assert!(matches!(action, Action::Finish(Outcome::NotRun(_))));
-    assert_eq!(call.remainder(), Remainder::Nothing);
-    assert_eq!(call.word(), Word::NeverSent);
+    assert_eq!(call.cleanup(), Cleanup::Nothing);
+    assert_eq!(call.status(), Status::NeverSent);
 }
 
 /// Begins a call at entry 0 whose claim is confirmed, and sends it.
@@ -443,7 +443,7 @@
             world.input(0, Input::AnswerLost);
             for _ in 0..9 {
                 let sequence = world.ledgers[0].open().sequence;
-                world.ledgers[0].close(sequence, Word::NeverSent);
+                world.ledgers[0].close(sequence, Status::NeverSent);
             }
         }),
     ];
--- a/coordination/tests/journal.rs
+++ b/coordination/tests/journal.rs
@@ -37,7 +37,7 @@
             return Verdict::Ended;
         }
         if self.delivered.iter().any(|(held, _)| *held == index) {
-            return Verdict::Repeated;
+            return Verdict::Duplicate;
         }
         if index != self.next() {
             return Verdict::Gap;
@@ -51,10 +51,10 @@
             return Ending::Stale;
         }
         if length != self.next() {
-            return Ending::Short;
+            return Ending::Incomplete;
         }
         self.whole = true;
-        Ending::Whole
+        Ending::Complete
     }
 }
 
@@ -118,7 +118,11 @@
                     assert_eq!(journal.accept(attempt, index, token), Verdict::Deliver);
                 }
                 let whole = journal.next_index() == LENGTH;
-                let expected = if whole { Ending::Whole } else { Ending::Short };
+                let expected = if whole {
+                    Ending::Complete
+                } else {
+                    Ending::Incomplete
+                };
                 assert_eq!(journal.end(attempt, LENGTH), expected);
             }
             let expected: String = (0..LENGTH).map(truth).collect();
--- a/coordination/tests/memory.rs
+++ b/coordination/tests/memory.rs
@@ -107,7 +107,7 @@
     let held = entry.held.swap_remove(which % entry.held.len());
     entry.ledger.release(held.key);
     if let Some((lender, loan)) = held.loan.filter(|_| !lost) {
-        entries[lender].ledger.take_back(loan);
+        entries[lender].ledger.end_loan(loan);
     }
 }
 
--- a/coordination/tests/planned_stop.rs
+++ b/coordination/tests/planned_stop.rs
@@ -4,15 +4,17 @@
 
 use bolero::check;
 use medlarfall_coordination::journal::{Journal, Verdict};
-use medlarfall_coordination::planned_stop::{Decision, Policy, Quiet, Stand, Target, share};
+use medlarfall_coordination::planned_stop::{
+    Completion, Decision, Policy, Snapshot, Target, share,
+};
 
 const POLICY: Policy = Policy {
     lead: Duration::from_secs(5),
     margin_percent: 50,
 };
 
-fn stand(accepted: u16, notice: u16, share: u8, tokens: u16, interval: u8) -> Stand {
-    Stand {
+fn stand(accepted: u16, notice: u16, share: u8, tokens: u16, interval: u8) -> Snapshot {
+    Snapshot {
         accepted: Duration::from_millis(accepted.into()),
         date: Duration::from_millis(u64::from(accepted) + u64::from(notice)),
         share: f64::from(share) / 255.0,
@@ -53,7 +55,7 @@
 
 #[test]
 fn a_generation_of_unknown_pace_waits_for_the_last_moment() {
-    let stand = Stand {
+    let stand = Snapshot {
         token_interval: None,
         ..stand(0, 60_000, 0, 10, 0)
     };
@@ -81,7 +83,7 @@
     check!()
         .with_type::<Vec<(u16, Option<u8>)>>()
         .for_each(|looks| {
-            let mut quiet = Quiet::new(Duration::from_millis(SETTLE));
+            let mut quiet = Completion::new(Duration::from_millis(SETTLE));
             let mut now = 0;
             let mut idle_since = None;
             for (pause, held) in looks {
@@ -156,7 +158,7 @@
                         let verdict = journal.accept(attempt, index, format!("{index}").into());
                         let expected = match index {
                             _ if attempt != current => Verdict::Stale,
-                            _ if index < next => Verdict::Repeated,
+                            _ if index < next => Verdict::Duplicate,
                             _ if index > next => Verdict::Gap,
                             _ => Verdict::Deliver,
                         };
--- a/coordination/tests/revision.rs
+++ b/coordination/tests/revision.rs
@@ -31,7 +31,7 @@
 }
 
 fn exchange(left: &mut Numbers, right: &mut Numbers) -> usize {
-    let mut message = left.hello();
+    let mut message = left.start_exchange();
     let mut steps = 0;
     while message != Message::Done {
         let reply = right.answer(message).0;
@@ -102,5 +102,5 @@
     ledger.offer(Record::new("briefs", 3, 1));
     ledger.forget("briefs");
     ledger.forget("tracker");
-    assert_eq!(empty.answer(ledger.hello()).0, Message::Done);
+    assert_eq!(empty.answer(ledger.start_exchange()).0, Message::Done);
 }
--- a/serving/src/modules/claims.rs
+++ b/serving/src/modules/claims.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::claim::identifier::Window;
-use medlarfall_coordination::claim::{Claimer, Ledger, Word};
+use medlarfall_coordination::claim::{Claimer, Ledger, Status};
 use rand::Rng;
 use tokio::sync::{Notify, Semaphore};
 use tokio::time::Instant;
@@ -63,14 +63,14 @@
 
     /// Returns this entry's word on a claim, waiting up to `wait` for a call to end; nothing if
     /// the claim is not of this incarnation.
-    pub async fn wait(&self, claimer: &Claimer, wait: Duration) -> Option<Word> {
+    pub async fn wait(&self, claimer: &Claimer, wait: Duration) -> Option<Status> {
         let deadline = Instant::now() + wait;
         loop {
             let ended = self.ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
             let word = self.lock().word(claimer);
-            let waiting = word == Some(Word::Running) && Instant::now() < deadline;
+            let waiting = word == Some(Status::Running) && Instant::now() < deadline;
             if !waiting {
                 return word;
             }
@@ -87,7 +87,7 @@
     }
 
     /// Closes a call with the word that is to be given on it.
-    fn close(&self, sequence: u64, word: Word) {
+    fn close(&self, sequence: u64, word: Status) {
         self.lock().close(sequence, word);
         self.ended.notify_waiters();
     }
--- a/serving/src/modules/claims/remainder.rs
+++ b/serving/src/modules/claims/remainder.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::claim::{Call, Claimer, Record, Remainder};
+use medlarfall_coordination::claim::{Call, Claimer, Cleanup, Record};
 
 use crate::context::Context;
 use crate::platform::{Error, Item, Store};
@@ -19,8 +19,8 @@
 
 /// Starts what is left of a call that has ended; over the limit it is left to the sweep.
 pub(super) fn clear(context: &Arc<Context>, key: String, call: &Call) {
-    let remainder = call.remainder();
-    if remainder == Remainder::Nothing {
+    let remainder = call.cleanup();
+    if remainder == Cleanup::Nothing {
         return;
     }
     let Ok(permit) = Arc::clone(&context.claims.clearing).try_acquire_owned() else {
@@ -40,17 +40,17 @@
 }
 
 /// Carries out what is left.
-async fn carry_out<S: Store>(store: &S, key: &str, claimer: &Claimer, remainder: Remainder) {
+async fn carry_out<S: Store>(store: &S, key: &str, claimer: &Claimer, remainder: Cleanup) {
     match remainder {
-        Remainder::Nothing => {}
-        Remainder::Keep { record, expected } => {
+        Cleanup::Nothing => {}
+        Cleanup::Keep { record, expected } => {
             let value = serde_json::to_string(&record).unwrap_or_default();
             persist(|| store.put(key, value.clone(), expected, None)).await;
         }
-        Remainder::Delete { expected } => {
+        Cleanup::Delete { expected } => {
             persist(|| store.delete(key, expected)).await;
         }
-        Remainder::Withdraw => {
+        Cleanup::Withdraw => {
             tokio::time::sleep(LATE_WRITE_PAUSE).await;
             let found = persist(|| store.get(key)).await.flatten();
             if let Some(item) = found.filter(|item| unanswered(item, claimer)) {
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use medlarfall_coordination::claim::identifier::{self, Identifier};
 use medlarfall_coordination::claim::{
-    Action, Answer, Call, Claimer, Held, Input, Limits, Outcome, Reason, Word,
+    Action, Answer, Call, Claimer, Held, Input, Limits, Outcome, Reason, Status,
 };
 
 use super::remainder;
@@ -37,7 +37,7 @@
     let call = &order.call;
     let binding = identifier::binding(call.method.as_str(), &call.path, &call.body);
     let limits = Limits {
-        trust: context.settings.services.claim_trust,
+        confirmation_ttl: context.settings.services.claim_trust,
         ..Limits::default()
     };
     let claimer = context.claims.open();
@@ -56,7 +56,7 @@
                 let read = context.platform.get(&key);
                 input_of_get(within(context, order, read).await)
             }
-            Action::Ask(claimer) => Input::Word(ask(context, order, &claimer).await),
+            Action::QueryClaimer(claimer) => Input::Word(ask(context, order, &claimer).await),
             Action::Prepare if permit.is_some() => Input::Prepared,
             Action::Prepare => match attempts::admit(context, order).await {
                 Ok(admitted) => {
@@ -80,7 +80,7 @@
         };
         action = call.step(input, context.clock.now());
     };
-    context.claims.close(sequence, call.word());
+    context.claims.close(sequence, call.status());
     remainder::clear(context, key, &call);
     conclude(outcome, sent)
 }
@@ -101,7 +101,7 @@
 }
 
 /// Asks a claimer for its word.
-async fn ask(context: &Context, order: &Order, claimer: &Claimer) -> Option<Word> {
+async fn ask(context: &Context, order: &Order, claimer: &Claimer) -> Option<Status> {
     let wait = order.remains(context).min(CALL_TIMEOUT);
     let own = context.claims.wait(claimer, wait).await;
     if own.is_some() {
--- a/serving/src/modules/generation/attempt.rs
+++ b/serving/src/modules/generation/attempt.rs
@@ -142,13 +142,13 @@
                         self.deliver(watch, index, token).await
                     }
                     Verdict::Gap => Some(Outcome::Lost("a token is missing".to_owned())),
-                    Verdict::Repeated | Verdict::Stale | Verdict::Ended => None,
+                    Verdict::Duplicate | Verdict::Stale | Verdict::Ended => None,
                 }
             }
             (None, Some(reason)) => match self.journal.end(attempt, frame.index) {
-                Ending::Whole if self.skipping() => Some(Outcome::Diverged),
-                Ending::Whole => Some(Outcome::Whole(reason)),
-                Ending::Short => Some(Outcome::Lost("the last tokens are missing".to_owned())),
+                Ending::Complete if self.skipping() => Some(Outcome::Diverged),
+                Ending::Complete => Some(Outcome::Whole(reason)),
+                Ending::Incomplete => Some(Outcome::Lost("the last tokens are missing".to_owned())),
                 Ending::Stale => None,
             },
             _ => Some(Outcome::Lost("a frame cannot be read".to_owned())),
--- a/serving/src/modules/operators/stops.rs
+++ b/serving/src/modules/operators/stops.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::planned_stop::{Quiet, Target};
+use medlarfall_coordination::planned_stop::{Completion, Target};
 use medlarfall_schema::declaration::Stop;
 use medlarfall_schema::operator as rpc;
 use tokio::sync::mpsc;
@@ -178,7 +178,7 @@
     target: &Target,
     sender: &mpsc::Sender<Result<rpc::StopProgress, Status>>,
 ) {
-    let mut quiet = Quiet::new(SETTLE);
+    let mut quiet = Completion::new(SETTLE);
     let mut told = None;
     loop {
         let Some(planned) = context.stops.declared().borrow().find(target).cloned() else {
--- a/serving/src/modules/peers.rs
+++ b/serving/src/modules/peers.rs
@@ -12,7 +12,7 @@
 
 use fastrace::future::FutureExt as _;
 use futures::StreamExt;
-use medlarfall_coordination::claim::{Claimer, Word};
+use medlarfall_coordination::claim::{Claimer, Status};
 use medlarfall_coordination::membership;
 use medlarfall_coordination::rollout;
 use serde::{Deserialize, Serialize};
@@ -74,7 +74,7 @@
 
     /// Returns the entry's word on a claim of its own, waiting up to `wait_ms` for a call to end;
     /// nothing if the claim is not of this incarnation.
-    async fn claim(claimer: Claimer, wait_ms: u64) -> Option<Word>;
+    async fn claim(claimer: Claimer, wait_ms: u64) -> Option<Status>;
     /// Takes a message of membership and returns the answers to its sender.
     async fn gossip(message: membership::Message) -> Vec<membership::Message>;
     /// Takes a message of an exchange of declarations.
@@ -239,7 +239,7 @@
         self.context.moves.tell(moves::Message::Heard(record)).await;
     }
 
-    async fn claim(self, _: context::Context, claimer: Claimer, wait_ms: u64) -> Option<Word> {
+    async fn claim(self, _: context::Context, claimer: Claimer, wait_ms: u64) -> Option<Status> {
         let wait = Duration::from_millis(wait_ms).min(CALL_TIMEOUT);
         self.context.claims.wait(&claimer, wait).await
     }
--- a/serving/src/modules/spread.rs
+++ b/serving/src/modules/spread.rs
@@ -128,7 +128,7 @@
     /// Returns the first message of an exchange with a peer.
     #[must_use]
     pub fn hello(&self) -> Message<R, T> {
-        self.lock().hello()
+        self.lock().start_exchange()
     }
 
     /// Answers a message of an exchange with a peer.
--- a/serving/src/modules/stops/handover.rs
+++ b/serving/src/modules/stops/handover.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::journal::{Attempt, Journal};
-use medlarfall_coordination::planned_stop::{self, Decision, Stand};
+use medlarfall_coordination::planned_stop::{self, Decision, Snapshot};
 use tokio::sync::{oneshot, watch};
 use tokio::time::Instant;
 
@@ -116,14 +116,14 @@
     }
 
     /// Returns how the generation stands towards the stop of its server, if there is one.
-    fn stand(&mut self, journal: &Journal, now: Duration) -> Option<Stand> {
+    fn stand(&mut self, journal: &Journal, now: Duration) -> Option<Snapshot> {
         let declared = Arc::clone(&self.declared.borrow_and_update());
         let planned = declared.of_server(&self.server)?;
         let interval = self.began.and_then(|(began, first)| {
             let tokens = u32::try_from(journal.next_index() - first).unwrap_or(u32::MAX);
             now.saturating_sub(began).checked_div(tokens)
         });
-        Some(Stand {
+        Some(Snapshot {
             accepted: planned.known,
             date: planned.date,
             share: planned_stop::share(&self.request.request_id),
