--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -104,6 +104,7 @@
     /// Asks for the members of the failure domain.
     Join,
     /// Carries news only.
+    #[serde(rename = "News")]
     News,
 }
 
