--- a/coordination/src/claim.rs
+++ b/coordination/src/claim.rs
@@ -152,7 +152,7 @@
                 self.read(now)
             }
             (Phase::Settling { expected }, Input::Found(held)) => self.settle(expected, held, now),
-            (Phase::Asking { revision }, Input::Word(word)) => self.heed(revision, word, now),
+            (Phase::Asking { revision }, Input::Status(word)) => self.heed(revision, word, now),
             (Phase::Verifying { word }, Input::Found(found)) => self.verify(word.as_ref(), found),
             (Phase::Verifying { word }, _) => self.unsure(word.as_ref()),
             (Phase::Confirmed { revision }, Input::Prepared) => self.depart(revision, now),
--- a/coordination/src/claim/identifier.rs
+++ b/coordination/src/claim/identifier.rs
@@ -127,7 +127,7 @@
 
 /// Returns a body as it is kept.
 #[must_use]
-pub fn keep(body: &[u8]) -> Body {
+pub fn encode_body(body: &[u8]) -> Body {
     match str::from_utf8(body) {
         Ok(text) => Body::Text(Arc::from(text)),
         Err(_) => Body::Hex(Arc::from(hex(body))),
@@ -136,7 +136,7 @@
 
 /// Returns the bytes of a kept body, or nothing if it cannot be read.
 #[must_use]
-pub fn bytes(body: &Body) -> Option<Vec<u8>> {
+pub fn decode_body(body: &Body) -> Option<Vec<u8>> {
     match body {
         Body::Text(text) => Some(text.as_bytes().to_vec()),
         Body::Hex(text) => text
--- a/coordination/src/claim/ledger.rs
+++ b/coordination/src/claim/ledger.rs
@@ -56,7 +56,7 @@
     }
 
     /// Sets the address at which other entries ask this one.
-    pub fn listen(&mut self, address: Arc<str>) {
+    pub fn set_address(&mut self, address: Arc<str>) {
         self.address = address;
     }
 
@@ -89,7 +89,7 @@
 
     /// Returns this entry's word on a claim, or nothing if the claim is not this incarnation's.
     #[must_use]
-    pub fn word(&self, claimer: &Claimer) -> Option<Status> {
+    pub fn status(&self, claimer: &Claimer) -> Option<Status> {
         if claimer.entry != self.entry || claimer.incarnation != self.incarnation {
             return None;
         }
--- a/coordination/src/claim/message.rs
+++ b/coordination/src/claim/message.rs
@@ -16,7 +16,7 @@
     /// The store did not take the call.
     Unavailable,
     /// The claimer gave its word, or nothing if it did not answer.
-    Word(Option<Status>),
+    Status(Option<Status>),
     /// A backend server is chosen and the first byte could go out now.
     Prepared,
     /// The call ran.
--- a/coordination/src/fencing.rs
+++ b/coordination/src/fencing.rs
@@ -170,7 +170,7 @@
 
     /// Notes at `now` that the lock was taken under revision `fencing`; its lease surely lasts until
     /// `until`, counted from before it was asked for.
-    pub fn acquired(&mut self, now: Duration, fencing: u64, until: Duration) {
+    pub fn record_acquired(&mut self, now: Duration, fencing: u64, until: Duration) {
         let quiet = if self.enforced {
             Duration::ZERO
         } else {
@@ -192,7 +192,7 @@
 
     /// Notes what reading the server showed: whether it is in the ordered state, or nothing if it
     /// could not be read.
-    pub fn read(&mut self, in_state: Option<bool>) {
+    pub fn record_read(&mut self, in_state: Option<bool>) {
         self.step = match in_state {
             Some(true) => Step::End(Outcome::Achieved),
             Some(false) => Step::Order,
@@ -201,7 +201,7 @@
     }
 
     /// Notes the answer to an order.
-    pub fn answered(&mut self, now: Duration, answer: Answer) {
+    pub fn record_answer(&mut self, now: Duration, answer: Answer) {
         let may_take_effect = answer == Answer::Lost;
         if !may_take_effect {
             self.in_flight_until = now;
--- a/coordination/src/journal.rs
+++ b/coordination/src/journal.rs
@@ -87,7 +87,7 @@
     }
 
     /// Notes the highest number given to a prepared attempt, so that none gets it again.
-    pub fn note_used(&mut self, attempt: Attempt) {
+    pub fn record_prepared(&mut self, attempt: Attempt) {
         self.used = self.used.max(attempt.0);
     }
 
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -105,7 +105,7 @@
     Join,
     /// Carries news only.
     #[serde(rename = "News")]
-    News,
+    Updates,
 }
 
 /// A message between two entries.
@@ -138,7 +138,7 @@
     /// Time in which a suspected member can refute the suspicion.
     pub suspicion: Duration,
     /// Time for which a dead member is remembered.
-    pub forget: Duration,
+    pub dead_retention: Duration,
     /// Members through which a silent one is asked.
     pub relays: usize,
     /// Contacts kept in each other failure domain.
@@ -153,7 +153,7 @@
             period: Duration::from_millis(500),
             ping_timeout: Duration::from_millis(200),
             suspicion: Duration::from_millis(2_500),
-            forget: Duration::from_mins(2),
+            dead_retention: Duration::from_mins(2),
             relays: 3,
             contacts: 3,
             join_periods: 10,
@@ -273,7 +273,7 @@
             Kind::Ack(sequence) => self.acknowledged(sequence),
             Kind::Relay(sequence, target) => self.relay(&sender, sequence, target, now),
             Kind::Join => vec![self.welcome(&sender, known)],
-            Kind::News => Vec::new(),
+            Kind::Updates => Vec::new(),
         }
     }
 
@@ -289,7 +289,7 @@
         );
         let message = Message {
             from: self.me.clone(),
-            kind: Kind::News,
+            kind: Kind::Updates,
             updates: vec![update],
         };
         targets
@@ -360,7 +360,7 @@
             (true, true) => REFRESHED,
             (false, _) => INTRODUCED,
         };
-        let mut send = self.to(joiner, Kind::News);
+        let mut send = self.to(joiner, Kind::Updates);
         let members = self.table.up(true).map(Known::update);
         let members = members.choose_multiple(&mut self.random, limit);
         send.message.updates.extend(members);
--- a/coordination/src/membership/table.rs
+++ b/coordination/src/membership/table.rs
@@ -108,7 +108,9 @@
     /// that have been down for long.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<Update> {
         let Config {
-            suspicion, forget, ..
+            suspicion,
+            dead_retention: forget,
+            ..
         } = self.config;
         let mut dead = Vec::new();
         for known in self.known.values_mut() {
--- a/coordination/src/revision.rs
+++ b/coordination/src/revision.rs
@@ -161,14 +161,14 @@
     /// Takes a message of an exchange and returns the answer to it and the records that were new.
     ///
     /// Both sides call this in turn until the answer is [`Message::Done`].
-    pub fn answer(&mut self, message: Message<R, T>) -> (Message<R, T>, Vec<Record<R, T>>) {
+    pub fn respond(&mut self, message: Message<R, T>) -> (Message<R, T>, Vec<Record<R, T>>) {
         match message {
             Message::Root(root) if root == self.root() => (Message::Done, Vec::new()),
             Message::Root(_) => (Message::Buckets(self.buckets.to_vec()), Vec::new()),
             Message::Buckets(theirs) => (self.revisions(&theirs), Vec::new()),
             Message::Revisions { buckets, held } => (self.difference(&buckets, &held), Vec::new()),
             Message::Difference { records, wanted } => {
-                let newer = self.take(records);
+                let newer = self.merge(records);
                 let records = wanted
                     .iter()
                     .filter_map(|key| self.get(key).cloned())
@@ -180,13 +180,13 @@
                 };
                 (answer, newer)
             }
-            Message::Records(records) => (Message::Done, self.take(records)),
+            Message::Records(records) => (Message::Done, self.merge(records)),
             Message::Done => (Message::Done, Vec::new()),
         }
     }
 
     /// Offers records and returns those that were newer.
-    pub fn take(&mut self, records: Vec<Record<R, T>>) -> Vec<Record<R, T>> {
+    pub fn merge(&mut self, records: Vec<Record<R, T>>) -> Vec<Record<R, T>> {
         records
             .into_iter()
             .filter(|record| self.offer(record.clone()) == Verdict::Newer)
--- a/coordination/tests/claim.rs
+++ b/coordination/tests/claim.rs
@@ -181,8 +181,11 @@
             }
             Message::Delete(expected) => self.write(None, expected),
             Message::Ask(claimer) => {
-                let word = self.ledgers.iter().find_map(|ledger| ledger.word(&claimer));
-                Input::Word(word)
+                let word = self
+                    .ledgers
+                    .iter()
+                    .find_map(|ledger| ledger.status(&claimer));
+                Input::Status(word)
             }
             Message::Send(_) if refused => Input::Refused,
             Message::Send(index) => Input::Replied(self.run(index)),
@@ -210,7 +213,7 @@
         let input = match (&flight.message, flight.answer.clone()) {
             (_, Some(answer)) if !lost => answer,
             (Message::Send(_), _) => Input::AnswerLost,
-            (Message::Ask(_), _) => Input::Word(None),
+            (Message::Ask(_), _) => Input::Status(None),
             (Message::Put(..), None) if position.is_multiple_of(2) => Input::Unavailable,
             _ => Input::Lost,
         };
--- a/coordination/tests/claim_identifier.rs
+++ b/coordination/tests/claim_identifier.rs
@@ -4,7 +4,7 @@
 
 use bolero::check;
 use medlarfall_coordination::claim::identifier::{
-    self, Error, Identifier, Window, binding, bytes, keep, sweepable,
+    self, Error, Identifier, Window, binding, decode_body, encode_body, sweepable,
 };
 use uuid::{NoContext, Timestamp, Uuid};
 
@@ -70,7 +70,7 @@
 #[test]
 fn bodies_are_kept_byte_for_byte() {
     check!().with_type::<Vec<u8>>().for_each(|body| {
-        assert_eq!(bytes(&keep(body)).as_ref(), Some(body));
+        assert_eq!(decode_body(&encode_body(body)).as_ref(), Some(body));
     });
 }
 
--- a/coordination/tests/fencing.rs
+++ b/coordination/tests/fencing.rs
@@ -116,7 +116,7 @@
             let awaited = self.runs[flight.who] == flight.run && self.awaits[flight.who].is_some();
             if awaited && !flight.lost {
                 self.awaits[flight.who] = None;
-                self.holders[flight.who].answered(Duration::from_millis(self.now), answer);
+                self.holders[flight.who].record_answer(Duration::from_millis(self.now), answer);
             }
         }
         self.now = end;
@@ -124,7 +124,7 @@
             // No answer came within the timeout: the order counts as lost.
             if self.awaits[who].is_some_and(|deadline| deadline <= self.now) {
                 self.awaits[who] = None;
-                self.holders[who].answered(Duration::from_millis(self.now), Answer::Lost);
+                self.holders[who].record_answer(Duration::from_millis(self.now), Answer::Lost);
             }
         }
     }
@@ -141,12 +141,12 @@
                 // A lock that is held still is not given up: its lease runs out.
                 if let Some(fencing) = self.store.acquire(who, self.now) {
                     let until = Duration::from_millis(self.now + LEASE);
-                    self.holders[who].acquired(now, fencing, until);
+                    self.holders[who].record_acquired(now, fencing, until);
                 }
             }
             Action::Read => {
                 let in_state = self.server.state == who;
-                self.holders[who].read((!lost).then_some(in_state));
+                self.holders[who].record_read((!lost).then_some(in_state));
             }
             Action::Order { fencing } => {
                 self.flights.push(Flight {
@@ -232,14 +232,14 @@
 fn a_lock_is_kept_while_an_order_may_be_in_flight() {
     let mut holder = Holder::new(POLICY, false);
     let at = Duration::from_millis;
-    holder.acquired(at(0), 1, at(LEASE));
+    holder.record_acquired(at(0), 1, at(LEASE));
     assert_eq!(holder.next(at(0)), Action::Wait { until: at(TIMEOUT) });
     assert_eq!(holder.next(at(TIMEOUT)), Action::Read);
-    holder.read(Some(false));
+    holder.record_read(Some(false));
     assert_eq!(holder.next(at(TIMEOUT)), Action::Order { fencing: 1 });
-    holder.answered(at(2 * TIMEOUT), Answer::Lost);
+    holder.record_answer(at(2 * TIMEOUT), Answer::Lost);
     assert_eq!(holder.next(at(2 * TIMEOUT)), Action::Read);
-    holder.read(Some(true));
+    holder.record_read(Some(true));
     let Action::End(ending) = holder.next(at(2 * TIMEOUT)) else {
         panic!("the order is achieved");
     };
@@ -250,7 +250,7 @@
 fn an_order_that_the_lease_may_not_outlast_is_not_sent() {
     let mut holder = Holder::new(POLICY, false);
     let at = Duration::from_millis;
-    holder.acquired(at(0), 1, at(LEASE));
-    holder.read(Some(false));
+    holder.record_acquired(at(0), 1, at(LEASE));
+    holder.record_read(Some(false));
     assert_eq!(holder.next(at(LEASE - TIMEOUT + 1)), Action::Acquire);
 }
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -260,7 +260,7 @@
             let learn = |updates: Vec<Update>| {
                 let mut node = Members::new(member(0, 1), Config::default(), 1);
                 let from = member(9, 1);
-                let kind = Kind::News;
+                let kind = Kind::Updates;
                 node.receive(
                     Message {
                         from,
--- a/coordination/tests/planned_stop.rs
+++ b/coordination/tests/planned_stop.rs
@@ -145,7 +145,7 @@
                     0 => {
                         let prepared = journal.prepared_attempt(u64::from(*pick));
                         assert!(!attempts.contains(&prepared), "a number was given twice");
-                        journal.note_used(prepared);
+                        journal.record_prepared(prepared);
                         attempts.push(prepared);
                     }
                     1 => {
--- a/coordination/tests/revision.rs
+++ b/coordination/tests/revision.rs
@@ -34,8 +34,8 @@
     let mut message = left.start_exchange();
     let mut steps = 0;
     while message != Message::Done {
-        let reply = right.answer(message).0;
-        message = left.answer(reply).0;
+        let reply = right.respond(message).0;
+        message = left.respond(reply).0;
         steps += 1;
         assert!(steps <= 3, "the exchange does not end");
     }
@@ -102,5 +102,5 @@
     ledger.offer(Record::new("briefs", 3, 1));
     ledger.forget("briefs");
     ledger.forget("tracker");
-    assert_eq!(empty.answer(ledger.start_exchange()).0, Message::Done);
+    assert_eq!(empty.respond(ledger.start_exchange()).0, Message::Done);
 }
--- a/serving/src/modules/claims.rs
+++ b/serving/src/modules/claims.rs
@@ -69,7 +69,7 @@
             let ended = self.ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
-            let word = self.lock().word(claimer);
+            let word = self.lock().status(claimer);
             let waiting = word == Some(Status::Running) && Instant::now() < deadline;
             if !waiting {
                 return word;
@@ -100,7 +100,7 @@
 /// Starts the sweep, once the peers' port listens on `address`.
 pub fn start(context: &Arc<Context>, address: SocketAddr) {
     let address = Arc::from(address.to_string());
-    context.claims.lock().listen(address);
+    context.claims.lock().set_address(address);
     let context = Arc::clone(context);
     tokio::spawn(async move {
         let store = &context.platform;
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -56,7 +56,7 @@
                 let read = context.platform.get(&key);
                 input_of_get(within(context, order, read).await)
             }
-            Action::QueryClaimer(claimer) => Input::Word(ask(context, order, &claimer).await),
+            Action::QueryClaimer(claimer) => Input::Status(ask(context, order, &claimer).await),
             Action::Prepare if permit.is_some() => Input::Prepared,
             Action::Prepare => match attempts::admit(context, order).await {
                 Ok(admitted) => {
@@ -174,7 +174,7 @@
             status: reply.status,
             content_type: reply.content_type.clone(),
             body: (!reply.oversized && reply.body.len() <= limit)
-                .then(|| identifier::keep(&reply.body)),
+                .then(|| identifier::encode_body(&reply.body)),
         }),
         Sent::NotRun(_) => Input::Refused,
         Sent::Unknown(_) => Input::AnswerLost,
@@ -195,7 +195,7 @@
 /// Returns a kept answer as a reply.
 fn replay(answer: Answer) -> Result<Reply, Error> {
     let status = answer.status;
-    let body = answer.body.as_ref().and_then(identifier::bytes);
+    let body = answer.body.as_ref().and_then(identifier::decode_body);
     let body = body.ok_or(Error::NotKept { status })?;
     Ok(Reply {
         status,
--- a/serving/src/modules/generation/attempt.rs
+++ b/serving/src/modules/generation/attempt.rs
@@ -66,7 +66,7 @@
         };
         let outcome = self.read_until_moved(watch, frames, &mut handover).await;
         if let Some(last) = handover.last_prepared(&self.journal) {
-            self.journal.note_used(last);
+            self.journal.record_prepared(last);
         }
         outcome
     }
--- a/serving/src/modules/orders.rs
+++ b/serving/src/modules/orders.rs
@@ -143,11 +143,11 @@
                 Action::Read => {
                     let state = self.state().await;
                     let in_state = state.map(|state| self.desired.holds(&state));
-                    self.holder.read(in_state);
+                    self.holder.record_read(in_state);
                 }
                 Action::Order { fencing } => {
                     let answer = self.order(fencing).await;
-                    self.holder.answered(self.way.clock.now(), answer);
+                    self.holder.record_answer(self.way.clock.now(), answer);
                 }
                 Action::End(ending) => return Ok(ending),
             }
@@ -158,7 +158,8 @@
     async fn acquire(&mut self, deadline: Duration) -> Result<(), Error> {
         match self.lock().await {
             Ok((fencing, until)) => {
-                self.holder.acquired(self.way.clock.now(), fencing, until);
+                self.holder
+                    .record_acquired(self.way.clock.now(), fencing, until);
                 Ok(())
             }
             Err(reason) if self.way.clock.now() >= deadline => Err(Error::NoLock {
--- a/serving/src/modules/spread.rs
+++ b/serving/src/modules/spread.rs
@@ -135,7 +135,7 @@
     #[must_use]
     pub fn answer(&self, message: Message<R, T>) -> Message<R, T> {
         let mut ledger = self.lock();
-        let (answer, newer) = ledger.answer(message);
+        let (answer, newer) = ledger.respond(message);
         if !newer.is_empty() {
             self.publish(newer);
         }
