--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -37,12 +37,12 @@
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
+mod dissemination;
 mod probe;
-mod rumours;
 mod table;
 
+use dissemination::Dissemination;
 use probe::{Probe, Relay};
-use rumours::Rumours;
 use table::{Known, Table};
 
 /// Members that a reply to a join names at most.
@@ -169,7 +169,7 @@
     random: ChaCha8Rng,
     seeds: Vec<SocketAddr>,
     table: Table,
-    rumours: Rumours,
+    dissemination: Dissemination,
     queue: Vec<Arc<str>>,
     probe: Option<Probe>,
     relays: Vec<Relay>,
@@ -189,7 +189,7 @@
             config,
             random: ChaCha8Rng::seed_from_u64(seed),
             seeds: Vec::new(),
-            rumours: Rumours::default(),
+            dissemination: Dissemination::default(),
             queue: Vec::new(),
             probe: None,
             relays: Vec::new(),
@@ -237,7 +237,7 @@
         self.forgive_own_pause(now);
         let mut sends = Vec::new();
         for update in self.table.expire(now) {
-            self.rumours.add(update);
+            self.dissemination.add(update);
         }
         self.relays.retain(|relay| relay.expires > now);
         if now >= self.next_period {
@@ -309,7 +309,7 @@
         let own = update.member.failure_domain == self.me.failure_domain;
         let taken = self.table.merge(update.clone(), now, &mut self.random);
         if taken && own {
-            self.rumours.add(update);
+            self.dissemination.add(update);
         }
     }
 
@@ -319,7 +319,7 @@
             update.state != State::Alive && update.member.incarnation >= self.me.incarnation;
         if wrong {
             self.me.incarnation = update.member.incarnation + 1;
-            self.rumours.add(Update {
+            self.dissemination.add(Update {
                 member: self.me.clone(),
                 state: State::Alive,
             });
@@ -334,7 +334,7 @@
             updates.push(known.update());
         }
         if target.failure_domain == self.me.failure_domain {
-            updates.extend(self.rumours.next(self.table.len()));
+            updates.extend(self.dissemination.next(self.table.len()));
             let contact = self.table.up(false).choose(&mut self.random);
             updates.extend(contact.map(Known::update));
         } else {
