--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -1,10 +1,10 @@
-//! Which entries are up: a hint, never a ground for what must hold.
+//! Membership of entries by the SWIM protocol. Its view is a hint: no guarantee may depend on it.
 //!
-//! Entries probe each other in the shape of SWIM: each period one member is asked, directly and,
-//! if it is silent, through others; a silent member is suspected, and dead only if it does not
-//! refute the suspicion with a higher incarnation. News ride on the probes. An entry knows its own
-//! failure domain in full and a few contacts in each other one, so that its cost does not grow
-//! with the number of entries.
+//! In each period an entry pings one member directly and, if it does not respond, through other
+//! members. A member that does not respond is suspected; it is declared dead unless it refutes the
+//! suspicion with a higher incarnation. Updates are piggybacked on the messages. An entry knows all
+//! members of its own failure domain and a few contacts in each other one, so that its cost does
+//! not grow with the number of entries.
 //!
 //! ```
 //! use std::time::Duration;
@@ -45,65 +45,67 @@
 use probe::{Probe, Relay};
 use table::{Known, Table};
 
-/// Members that a reply to a join names at most.
+/// Highest number of members in the reply to a join.
 const JOIN_LIMIT: usize = 256;
 
-/// Members that a reply to the join of a member that was known before names at most.
-const REFRESHED: usize = 8;
+/// Highest number of members in the reply to a join of a member that was already known.
+const REJOIN_LIMIT: usize = 8;
 
-/// Members of the own failure domain that are named to a contact in another.
-const INTRODUCED: usize = 2;
+/// Members of the own failure domain that are sent to a contact in another one.
+const INTRODUCTION_LIMIT: usize = 2;
 
-/// Peers that are told of a graceful leave.
-const FAREWELLS: usize = 5;
+/// Peers that are notified of a graceful leave.
+const LEAVE_RECIPIENTS: usize = 5;
 
-/// An entry as others know it.
+/// The identity of an entry, as it is sent to other entries.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
     /// Unique name.
     pub name: Arc<str>,
-    /// Address of the peers' port.
+    /// Address of the peer port.
     pub address: SocketAddr,
-    /// Failure domain that it runs in.
+    /// Failure domain in which it runs.
     pub failure_domain: Arc<str>,
-    /// Number that grows with each start and each refuted suspicion.
+    /// Number that increases with each start and each refuted suspicion.
     pub incarnation: u64,
 }
 
-/// How a member stands.
+/// State of a member.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum State {
-    /// It answers.
+    /// The member responds.
     Alive,
-    /// It was silent, and may still say that it is alive.
+    /// The member did not respond and may still refute the suspicion.
     Suspect,
-    /// It was silent for too long.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
-/// What is known of a member; of two, the one with the higher incarnation and state holds.
+/// An update on the state of a member. Of two updates, the one with the higher incarnation wins,
+/// and of the same incarnation the one with the higher state.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Update {
     /// The member.
     pub member: Member,
-    /// How it stands.
+    /// State of the member.
     pub state: State,
 }
 
-/// What a message asks or answers.
+/// Kind of a message.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Kind {
-    /// Asks for an acknowledgement.
+    /// Requests an acknowledgement.
     Ping(u64),
-    /// Acknowledges the ping of this number.
+    /// Acknowledges the ping with this sequence number.
     Ack(u64),
-    /// Asks to ping a member and to pass its acknowledgement on under this number.
+    /// Requests a ping of the member at an address; the acknowledgement is forwarded under this
+    /// sequence number.
     Relay(u64, SocketAddr),
-    /// Asks for the members of the failure domain.
+    /// Requests the members of the failure domain.
     Join,
-    /// Carries news only.
+    /// Carries only updates.
     #[serde(rename = "News")]
     Updates,
 }
@@ -111,39 +113,39 @@
 /// A message between two entries.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Message {
-    /// Who sends it.
+    /// Sender of the message.
     pub from: Member,
-    /// What it asks or answers.
+    /// Kind of the message.
     pub kind: Kind,
-    /// News of members.
+    /// Updates on members.
     pub updates: Vec<Update>,
 }
 
-/// A message that is to be sent.
+/// A message to send and its destination.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Send {
-    /// Address of the peers' port of the receiver.
+    /// Address of the receiver's peer port.
     pub to: SocketAddr,
     /// The message.
     pub message: Message,
 }
 
-/// Times and numbers of the protocol.
+/// Parameters of the protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Config {
-    /// Time from one probe to the next.
+    /// Time between two probes.
     pub period: Duration,
-    /// Time after which a silent member is asked through others.
+    /// Time without an acknowledgement after which a member is pinged through other members.
     pub ping_timeout: Duration,
-    /// Time in which a suspected member can refute the suspicion.
+    /// Time for which a suspected member can refute the suspicion.
     pub suspicion: Duration,
-    /// Time for which a dead member is remembered.
+    /// Time for which a member that is down is kept.
     pub dead_retention: Duration,
-    /// Members through which a silent one is asked.
+    /// Number of members through which a member is pinged indirectly.
     pub relays: usize,
     /// Contacts kept in each other failure domain.
     pub contacts: usize,
-    /// Periods from one join to the next.
+    /// Periods between two joins.
     pub join_periods: u64,
 }
 
@@ -161,7 +163,7 @@
     }
 }
 
-/// The members that one entry knows.
+/// The membership state of one entry.
 #[derive(Debug)]
 pub struct Members {
     me: Member,
@@ -180,7 +182,7 @@
 }
 
 impl Members {
-    /// Returns the members that `me` knows at its start: none. `seed` seeds its choices.
+    /// Returns the state of the entry `me` without known members; `seed` seeds its random choices.
     #[must_use]
     pub fn new(me: Member, config: Config, seed: u64) -> Self {
         Self {
@@ -200,12 +202,12 @@
         }
     }
 
-    /// Replaces the addresses at which entries may be found.
+    /// Replaces the addresses at which other entries may run.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
     }
 
-    /// Returns this entry as it names itself.
+    /// Returns the identity of this entry.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.me
@@ -232,9 +234,9 @@
         self.table.get(name).map(|known| known.state)
     }
 
-    /// Lets time pass; to be called several times a period.
+    /// Processes time-outs and returns the messages to send; to be called several times a period.
     pub fn tick(&mut self, now: Duration) -> Vec<Send> {
-        self.forgive_own_pause(now);
+        self.compensate_own_pause(now);
         let mut sends = Vec::new();
         for update in self.table.expire(now) {
             self.dissemination.add(update);
@@ -245,11 +247,11 @@
             self.next_period = now + self.config.period;
             self.begin_period(now, &mut sends);
         }
-        self.ask_through_others(now, &mut sends);
+        self.send_indirect_pings(now, &mut sends);
         sends
     }
 
-    /// Takes a message and returns the messages that it calls for.
+    /// Processes a message and returns the messages to send in response.
     pub fn receive(&mut self, message: Message, now: Duration) -> Vec<Send> {
         let Message {
             from,
@@ -258,7 +260,7 @@
         } = message;
         let sender = from.clone();
         let known = self.table.get(&from.name).is_some_and(Known::is_up);
-        self.learn(
+        self.apply_update(
             Update {
                 member: from,
                 state: State::Alive,
@@ -266,18 +268,18 @@
             now,
         );
         for update in updates {
-            self.learn(update, now);
+            self.apply_update(update, now);
         }
         match kind {
             Kind::Ping(sequence) => vec![self.to(&sender, Kind::Ack(sequence))],
             Kind::Ack(sequence) => self.acknowledged(sequence),
             Kind::Relay(sequence, target) => self.relay(&sender, sequence, target, now),
-            Kind::Join => vec![self.welcome(&sender, known)],
+            Kind::Join => vec![self.join_reply(&sender, known)],
             Kind::Updates => Vec::new(),
         }
     }
 
-    /// Returns the messages that tell some peers of a graceful leave.
+    /// Returns the messages that notify some peers of a graceful leave.
     pub fn leave(&mut self) -> Vec<Send> {
         let update = Update {
             member: self.me.clone(),
@@ -285,7 +287,7 @@
         };
         let targets: Vec<Member> = self.neighbours().cloned().choose_multiple(
             &mut rand_chacha::ChaCha8Rng::seed_from_u64(self.sequence),
-            FAREWELLS,
+            LEAVE_RECIPIENTS,
         );
         let message = Message {
             from: self.me.clone(),
@@ -301,8 +303,8 @@
             .collect()
     }
 
-    /// Takes news of a member.
-    fn learn(&mut self, update: Update, now: Duration) {
+    /// Applies an update; an update on this entry itself may have to be refuted.
+    fn apply_update(&mut self, update: Update, now: Duration) {
         if update.member.name == self.me.name {
             return self.refute(&update);
         }
@@ -313,7 +315,7 @@
         }
     }
 
-    /// Answers news that this entry is not alive, by a higher incarnation.
+    /// Refutes an update that this entry is not alive, by a higher incarnation.
     fn refute(&mut self, update: &Update) {
         let wrong =
             update.state != State::Alive && update.member.incarnation >= self.me.incarnation;
@@ -326,7 +328,7 @@
         }
     }
 
-    /// Returns a message to a member with the news that it should have.
+    /// Returns a message to a member, with updates piggybacked on it.
     fn to(&mut self, target: &Member, kind: Kind) -> Send {
         let mut updates = Vec::new();
         let known = self.table.get(&target.name);
@@ -334,12 +336,12 @@
             updates.push(known.update());
         }
         if target.failure_domain == self.me.failure_domain {
-            updates.extend(self.dissemination.next(self.table.len()));
+            updates.extend(self.dissemination.next_batch(self.table.len()));
             let contact = self.table.up(false).choose(&mut self.random);
             updates.extend(contact.map(Known::update));
         } else {
             let introduced = self.table.up(true).map(Known::update);
-            updates.extend(introduced.choose_multiple(&mut self.random, INTRODUCED));
+            updates.extend(introduced.choose_multiple(&mut self.random, INTRODUCTION_LIMIT));
         }
         Send {
             to: target.address,
@@ -351,14 +353,14 @@
         }
     }
 
-    /// Returns the answer to a join: the members of the failure domain, or a few of them if the
-    /// joiner was known before, and some contacts.
-    fn welcome(&mut self, joiner: &Member, known: bool) -> Send {
+    /// Returns the reply to a join: the members of the failure domain, or a few of them if the
+    /// joiner was already known, and contacts in other failure domains.
+    fn join_reply(&mut self, joiner: &Member, known: bool) -> Send {
         let own = joiner.failure_domain == self.me.failure_domain;
         let limit = match (own, known) {
             (true, false) => JOIN_LIMIT,
-            (true, true) => REFRESHED,
-            (false, _) => INTRODUCED,
+            (true, true) => REJOIN_LIMIT,
+            (false, _) => INTRODUCTION_LIMIT,
         };
         let mut send = self.to(joiner, Kind::Updates);
         let members = self.table.up(true).map(Known::update);
@@ -372,7 +374,7 @@
     }
 }
 
-/// Puts members in an order drawn by lot.
+/// Shuffles names at random.
 fn shuffled(mut names: Vec<Arc<str>>, random: &mut ChaCha8Rng) -> Vec<Arc<str>> {
     names.shuffle(random);
     names
--- a/coordination/src/membership/probe.rs
+++ b/coordination/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: who is asked in each period, and what its silence means.
+//! Probes: the choice of the member to ping in each period, indirect pings and suspicion.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,10 +8,11 @@
 
 use super::{Kind, Member, Members, Send, State, Update, shuffled};
 
-/// Every how many periods a contact in another failure domain is asked instead of a neighbour.
+/// Interval, in periods, at which a contact in another failure domain is pinged instead of a
+/// neighbour.
 const CONTACT_PERIODS: u64 = 3;
 
-/// The probe of the present period.
+/// The probe of the current period.
 #[derive(Debug)]
 pub(super) struct Probe {
     sequence: u64,
@@ -20,17 +21,18 @@
     relayed: bool,
 }
 
-/// A ping that was sent for another entry.
+/// A ping sent on behalf of another entry.
 #[derive(Debug)]
 pub(super) struct Relay {
     sequence: u64,
-    client: Member,
-    asked: u64,
+    requester: Member,
+    requested_sequence: u64,
     pub(super) expires: Duration,
 }
 
 impl Members {
-    /// Asks one member, and from time to time joins somebody.
+    /// Pings one member, and every [`Config::join_periods`](super::Config::join_periods) sends a
+    /// join.
     pub(super) fn begin_period(&mut self, now: Duration, sends: &mut Vec<Send>) {
         let joins = self.periods.is_multiple_of(self.config.join_periods);
         self.periods += 1;
@@ -50,7 +52,7 @@
         });
     }
 
-    /// Suspects the target of the last period's probe if it was silent.
+    /// Suspects the target of the last period's probe if it did not acknowledge.
     pub(super) fn end_probe(&mut self, now: Duration) {
         let Some(probe) = self.probe.take() else {
             return;
@@ -60,7 +62,7 @@
             .filter(|known| known.state == State::Alive)
             .map(|known| known.member.clone());
         if let Some(member) = suspected {
-            self.learn(
+            self.apply_update(
                 Update {
                     member,
                     state: State::Suspect,
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Asks a silent target through others.
-    pub(super) fn ask_through_others(&mut self, now: Duration, sends: &mut Vec<Send>) {
+    /// Requests indirect pings of a target that did not acknowledge within the ping time-out.
+    pub(super) fn send_indirect_pings(&mut self, now: Duration, sends: &mut Vec<Send>) {
         let Some(probe) = &mut self.probe else {
             return;
         };
@@ -81,20 +83,20 @@
         }
         probe.relayed = true;
         let (sequence, target) = (probe.sequence, probe.target.clone());
-        let helpers = self
+        let proxies = self
             .neighbours()
             .filter(|member| member.name != target.name)
             .cloned()
             .collect::<Vec<_>>();
-        let helpers = helpers
+        let proxies = proxies
             .into_iter()
             .choose_multiple(&mut self.random, self.config.relays);
-        for helper in helpers {
-            sends.push(self.to(&helper, Kind::Relay(sequence, target.address)));
+        for proxy in proxies {
+            sends.push(self.to(&proxy, Kind::Relay(sequence, target.address)));
         }
     }
 
-    /// Takes an acknowledgement, of an own probe or of one for another entry.
+    /// Processes an acknowledgement, of an own probe or of a ping on behalf of another entry.
     pub(super) fn acknowledged(&mut self, sequence: u64) -> Vec<Send> {
         let own = |probe: &Probe| probe.sequence == sequence;
         if self.probe.as_ref().is_some_and(own) {
@@ -108,14 +110,14 @@
         let Some(relay) = relay.map(|index| self.relays.swap_remove(index)) else {
             return Vec::new();
         };
-        vec![self.to(&relay.client, Kind::Ack(relay.asked))]
+        vec![self.to(&relay.requester, Kind::Ack(relay.requested_sequence))]
     }
 
-    /// Pings a member for another entry.
+    /// Pings a member on behalf of another entry.
     pub(super) fn relay(
         &mut self,
-        client: &Member,
-        asked: u64,
+        requester: &Member,
+        requested_sequence: u64,
         target: SocketAddr,
         now: Duration,
     ) -> Vec<Send> {
@@ -126,16 +128,16 @@
         let sequence = self.next_sequence();
         self.relays.push(Relay {
             sequence,
-            client: client.clone(),
-            asked,
+            requester: requester.clone(),
+            requested_sequence,
             expires: now + self.config.period,
         });
         vec![self.to(&target, Kind::Ping(sequence))]
     }
 
-    /// Moves all deadlines by the time for which this entry itself stood still, so that it does
-    /// not take its own pause for the silence of others.
-    pub(super) fn forgive_own_pause(&mut self, now: Duration) {
+    /// Extends all deadlines by the time for which this entry itself was paused, so that it does
+    /// not suspect other members because of its own pause.
+    pub(super) fn compensate_own_pause(&mut self, now: Duration) {
         let last = self.last_tick.replace(now).unwrap_or(now);
         let pause = now.saturating_sub(last);
         if pause < self.config.period {
@@ -145,21 +147,21 @@
         self.table.postpone(pause);
     }
 
-    /// Returns a join to somebody who may not know this entry yet.
+    /// Returns a join to a seed that is not a known member, or to a random neighbour.
     fn join(&mut self) -> Option<Send> {
         let known = |address: &SocketAddr| {
             let member = self.table.at(*address);
             member.is_some_and(|member| self.state(&member.name) == Some(State::Alive))
         };
-        let strangers: Vec<SocketAddr> = self
+        let unknown_seeds: Vec<SocketAddr> = self
             .seeds
             .iter()
             .filter(|address| **address != self.me.address && !known(address))
             .copied()
             .collect();
-        let stranger = strangers.into_iter().choose(&mut self.random);
+        let unknown_seed = unknown_seeds.into_iter().choose(&mut self.random);
         let neighbour = self.table.up(true).choose(&mut self.random);
-        let to = stranger.or(neighbour.map(|known| known.member.address))?;
+        let to = unknown_seed.or(neighbour.map(|known| known.member.address))?;
         let message = super::Message {
             from: self.me.clone(),
             kind: Kind::Join,
@@ -168,7 +170,8 @@
         Some(Send { to, message })
     }
 
-    /// Returns the member to probe: each neighbour once in a round, and a contact now and then.
+    /// Returns the member to probe: each neighbour once per round, and a contact every
+    /// [`CONTACT_PERIODS`].
     fn next_target(&mut self) -> Option<Member> {
         let contact = self.table.up(false).choose(&mut self.random);
         let contact = contact.map(|known| known.member.clone());
@@ -188,7 +191,7 @@
         contact
     }
 
-    /// Returns the number of the next ping.
+    /// Returns the sequence number of the next ping.
     fn next_sequence(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
--- a/coordination/src/membership/table.rs
+++ b/coordination/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The members that are known and how they stand.
+//! The known members and their states.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,11 +11,11 @@
 
 use super::{Config, Member, State, Update};
 
-/// Chance that a newly heard of contact takes the place of one that is known, so that no contact
-/// becomes the contact of all.
-const REPLACEMENT: f64 = 0.2;
+/// Probability that a newly discovered contact replaces a known one, so that no member becomes the
+/// contact of all entries.
+const REPLACEMENT_PROBABILITY: f64 = 0.2;
 
-/// A member that is known.
+/// A known member, its state and the time of the last change.
 #[derive(Clone, Debug)]
 pub(super) struct Known {
     pub(super) member: Member,
@@ -29,7 +29,7 @@
         matches!(self.state, State::Alive | State::Suspect)
     }
 
-    /// Returns what is known as news.
+    /// Returns an update with the known state.
     pub(super) fn update(&self) -> Update {
         Update {
             member: self.member.clone(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The members that are known: the own failure domain, and contacts in others.
+/// The known members: those of the own failure domain, and contacts in others.
 #[derive(Debug)]
 pub(super) struct Table {
     domain: Arc<str>,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns what is known of a member.
+    /// Returns a known member by name.
     pub(super) fn get(&self, name: &str) -> Option<&Known> {
         self.known.get(name)
     }
@@ -67,7 +67,7 @@
         members.find(|member| member.address == address)
     }
 
-    /// Returns the number of members, also of those that are down.
+    /// Returns the number of members, including those that are down.
     pub(super) fn len(&self) -> usize {
         self.known.len()
     }
@@ -85,7 +85,7 @@
         self.known.values().filter(|known| !known.is_up())
     }
 
-    /// Takes news of a member if it is newer than what is known.
+    /// Applies an update if it is newer than the known state, and returns whether it was.
     pub(super) fn merge(&mut self, update: Update, now: Duration, random: &mut ChaCha8Rng) -> bool {
         let newer = match self.known.get(&update.member.name) {
             Some(known) => {
@@ -104,8 +104,8 @@
         newer
     }
 
-    /// Declares members dead that were suspected for too long, returns them, and forgets those
-    /// that have been down for long.
+    /// Declares members dead whose suspicion has expired, removes members that have been down for
+    /// longer than the retention, and returns updates on the newly dead of the own failure domain.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<Update> {
         let Config {
             suspicion,
@@ -114,8 +114,8 @@
         } = self.config;
         let mut dead = Vec::new();
         for known in self.known.values_mut() {
-            let lapsed = known.state == State::Suspect && now >= known.since + suspicion;
-            if lapsed {
+            let expired = known.state == State::Suspect && now >= known.since + suspicion;
+            if expired {
                 known.state = State::Dead;
                 known.since = now;
                 dead.push(known.update());
@@ -127,14 +127,15 @@
         dead
     }
 
-    /// Moves all deadlines by `pause`.
+    /// Extends all deadlines by `pause`.
     pub(super) fn postpone(&mut self, pause: Duration) {
         self.known
             .values_mut()
             .for_each(|known| known.since += pause);
     }
 
-    /// Returns whether an unknown member of another failure domain becomes a contact.
+    /// Decides whether an unknown member of another failure domain becomes a contact, and removes
+    /// the contact that it replaces.
     fn admit(&mut self, update: &Update, random: &mut ChaCha8Rng) -> bool {
         if update.state != State::Alive {
             return false;
@@ -150,7 +151,7 @@
             return true;
         }
         let replaced = names.iter().choose(random);
-        let replaced = replaced.filter(|_| random.random_bool(REPLACEMENT));
+        let replaced = replaced.filter(|_| random.random_bool(REPLACEMENT_PROBABILITY));
         replaced.is_some_and(|name| self.known.remove(name).is_some())
     }
 }
--- a/coordination/tests/membership.rs
+++ b/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Properties of membership on a small network that loses, delays and cuts.
+//! Properties of membership on a small network with delays, silent entries and cut links.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -12,8 +12,8 @@
 
 const STEP: Duration = Duration::from_millis(50);
 
-/// Bound within which a death must be known in the whole failure domain.
-const DETECTED: Duration = Duration::from_secs(8);
+/// Time within which a death must be known in the whole failure domain.
+const DETECTION_LIMIT: Duration = Duration::from_secs(8);
 
 fn address(index: usize) -> SocketAddr {
     let port = u16::try_from(index + 1).expect("a small network");
@@ -29,12 +29,12 @@
     }
 }
 
-/// Entries whose messages take one step.
+/// A network of entries on which each message takes one step.
 struct Network {
     nodes: BTreeMap<SocketAddr, Members>,
     domains: usize,
     now: Duration,
-    flying: VecDeque<Send>,
+    in_flight: VecDeque<Send>,
     silent: BTreeSet<SocketAddr>,
     cut: fn(SocketAddr, SocketAddr) -> bool,
     bytes: usize,
@@ -46,7 +46,7 @@
             nodes: BTreeMap::new(),
             domains,
             now: Duration::ZERO,
-            flying: VecDeque::new(),
+            in_flight: VecDeque::new(),
             silent: BTreeSet::new(),
             cut: |_, _| false,
             bytes: 0,
@@ -55,7 +55,7 @@
         network
     }
 
-    /// Starts an entry; each knows the first entries as seeds.
+    /// Starts an entry with the first entries as seeds.
     fn start(&mut self, index: usize) {
         let mut me = member(index, self.domains);
         me.incarnation += u64::try_from(self.now.as_millis()).expect("a short run");
@@ -76,25 +76,25 @@
                 .iter_mut()
                 .filter(|(address, _)| running(address));
             for (_, node) in nodes {
-                self.flying.extend(node.tick(self.now));
+                self.in_flight.extend(node.tick(self.now));
             }
         }
     }
 
     fn deliver(&mut self) {
-        for send in std::mem::take(&mut self.flying) {
+        for send in std::mem::take(&mut self.in_flight) {
             self.bytes += serde_json::to_vec(&send.message).expect("JSON").len();
             let from = send.message.from.address;
             let lost = self.silent.contains(&send.to) || (self.cut)(from, send.to);
             let node = self.nodes.get_mut(&send.to).filter(|_| !lost);
             if let Some(node) = node {
-                self.flying.extend(node.receive(send.message, self.now));
+                self.in_flight.extend(node.receive(send.message, self.now));
             }
         }
     }
 
-    /// Returns how many entries hold `index` to be up, among those that run.
-    fn believers(&self, index: usize) -> usize {
+    /// Returns the number of running entries to which entry `index` is up.
+    fn count_up(&self, index: usize) -> usize {
         let name = format!("entry-{index}");
         let running = self
             .nodes
@@ -105,8 +105,8 @@
             .count()
     }
 
-    /// Asserts that each running entry knows its failure domain in full.
-    fn assert_full(&self) {
+    /// Asserts that each running entry knows exactly the running members of its failure domain.
+    fn assert_complete(&self) {
         let running = self
             .nodes
             .iter()
@@ -129,10 +129,10 @@
 }
 
 #[test]
-fn entries_learn_their_failure_domain_and_contacts_in_others() {
+fn entries_discover_their_failure_domain_and_contacts_in_others() {
     let mut network = Network::new(24, 3);
     network.run(Duration::from_secs(30));
-    network.assert_full();
+    network.assert_complete();
     for node in network.nodes.values() {
         let domains: BTreeSet<&str> = node
             .contacts()
@@ -144,27 +144,27 @@
 }
 
 #[test]
-fn a_death_is_known_to_all_and_nobody_else_is_held_dead() {
+fn a_death_is_known_to_all_and_no_other_member_is_declared_dead() {
     let mut network = Network::new(12, 1);
     network.run(Duration::from_secs(20));
     network.silent.extend([address(5), address(7)]);
-    network.run(DETECTED);
-    assert_eq!((network.believers(5), network.believers(7)), (0, 0));
-    network.assert_full();
+    network.run(DETECTION_LIMIT);
+    assert_eq!((network.count_up(5), network.count_up(7)), (0, 0));
+    network.assert_complete();
 }
 
 #[test]
-fn a_paused_entry_comes_back_and_holds_nobody_dead() {
+fn a_paused_entry_returns_and_declares_no_member_dead() {
     let mut network = Network::new(8, 1);
     network.run(Duration::from_secs(20));
     network.silent.insert(address(3));
-    network.run(DETECTED);
-    assert_eq!(network.believers(3), 0);
+    network.run(DETECTION_LIMIT);
+    assert_eq!(network.count_up(3), 0);
     network.silent.clear();
     network.run(STEP);
     assert_eq!(network.nodes[&address(3)].neighbours().count(), 7);
     network.run(Duration::from_secs(15));
-    network.assert_full();
+    network.assert_complete();
 }
 
 #[test]
@@ -172,31 +172,31 @@
     let mut network = Network::new(6, 1);
     network.run(Duration::from_secs(20));
     network.silent.insert(address(4));
-    network.run(DETECTED);
+    network.run(DETECTION_LIMIT);
     network.start(4);
     network.run(Duration::from_secs(10));
-    network.assert_full();
+    network.assert_complete();
 }
 
 #[test]
 fn a_graceful_leave_is_known_within_a_few_periods() {
     let mut network = Network::new(10, 1);
     network.run(Duration::from_secs(20));
-    let farewells = network
+    let messages = network
         .nodes
         .get_mut(&address(6))
         .map(Members::leave)
         .expect("a member");
-    network.flying.extend(farewells);
+    network.in_flight.extend(messages);
     network.silent.insert(address(6));
     network.run(Duration::from_secs(2));
-    assert_eq!(network.believers(6), 0);
+    assert_eq!(network.count_up(6), 0);
     let left = network.nodes[&address(0)].state("entry-6");
     assert_eq!(left, Some(State::Left));
 }
 
 #[test]
-fn two_halves_that_were_cut_apart_find_each_other_again() {
+fn two_partitions_merge_after_the_network_heals() {
     let mut network = Network::new(10, 1);
     network.run(Duration::from_secs(20));
     network.cut = |from, to| (from.port() <= 5) != (to.port() <= 5);
@@ -204,16 +204,20 @@
     assert_eq!(network.nodes[&address(0)].neighbours().count(), 4);
     network.cut = |_, _| false;
     network.run(Duration::from_mins(1));
-    network.assert_full();
+    network.assert_complete();
 }
 
 #[test]
-fn a_link_that_is_cut_one_way_makes_no_death() {
+fn a_link_cut_in_one_direction_causes_no_death() {
     let mut network = Network::new(8, 1);
     network.run(Duration::from_secs(20));
     network.cut = |from, to| from.port() == 1 && to.port() == 2;
     network.run(Duration::from_mins(1));
-    assert_eq!(network.believers(1), 7, "others ask for the cut pair");
+    assert_eq!(
+        network.count_up(1),
+        7,
+        "the pair is pinged through other members"
+    );
 }
 
 #[test]
@@ -232,32 +236,32 @@
     );
 }
 
-/// News in any order.
+/// A generated update on a member.
 #[derive(Clone, Debug, bolero::TypeGenerator)]
-struct News {
+struct GeneratedUpdate {
     about: u8,
     incarnation: u8,
     state: u8,
 }
 
-fn update(news: &News) -> Update {
-    let state = match news.state % 4 {
+fn update(generated: &GeneratedUpdate) -> Update {
+    let state = match generated.state % 4 {
         0 => State::Alive,
         1 => State::Suspect,
         2 => State::Dead,
         _ => State::Left,
     };
-    let mut member = member(usize::from(news.about % 6) + 1, 1);
-    member.incarnation = u64::from(news.incarnation % 8);
+    let mut member = member(usize::from(generated.about % 6) + 1, 1);
+    member.incarnation = u64::from(generated.incarnation % 8);
     Update { member, state }
 }
 
 #[test]
-fn news_mean_the_same_in_any_order_and_the_highest_holds() {
+fn updates_commute_and_the_highest_wins() {
     check!()
-        .with_type::<Vec<News>>()
-        .for_each(|news: &Vec<News>| {
-            let learn = |updates: Vec<Update>| {
+        .with_type::<Vec<GeneratedUpdate>>()
+        .for_each(|generated: &Vec<GeneratedUpdate>| {
+            let states_after = |updates: Vec<Update>| {
                 let mut node = Members::new(member(0, 1), Config::default(), 1);
                 let from = member(9, 1);
                 let kind = Kind::Updates;
@@ -273,7 +277,7 @@
                     .map(|index| node.state(&format!("entry-{index}")))
                     .collect::<Vec<_>>()
             };
-            let updates: Vec<Update> = news.iter().map(update).collect();
+            let updates: Vec<Update> = generated.iter().map(update).collect();
             let backwards: Vec<Update> = updates.iter().rev().cloned().collect();
             let highest = |index: usize| {
                 let name = format!("entry-{index}");
@@ -283,27 +287,29 @@
                     .max()
                     .map(|(_, state)| state)
             };
-            let twin: Vec<Option<State>> = (1..7).map(highest).collect();
-            assert_eq!(learn(updates.clone()), twin);
-            assert_eq!(learn(backwards), twin);
+            let expected: Vec<Option<State>> = (1..7).map(highest).collect();
+            assert_eq!(states_after(updates.clone()), expected);
+            assert_eq!(states_after(backwards), expected);
         });
 }
 
 #[test]
-fn news_of_its_own_death_is_refuted() {
-    check!().with_type::<News>().for_each(|news: &News| {
-        let mut node = Members::new(member(0, 1), Config::default(), 1);
-        let mut update = update(news);
-        update.member = member(0, 1);
-        update.member.incarnation = u64::from(news.incarnation);
-        let message = Message {
-            from: member(9, 1),
-            kind: Kind::Ping(7),
-            updates: vec![update.clone()],
-        };
-        let answers = node.receive(message, Duration::ZERO);
-        let said = (answers[0].message.from.incarnation, State::Alive);
-        let alive = update.state == State::Alive;
-        assert!(alive || said > (update.member.incarnation, update.state));
-    });
+fn an_update_on_its_own_death_is_refuted() {
+    check!()
+        .with_type::<GeneratedUpdate>()
+        .for_each(|generated: &GeneratedUpdate| {
+            let mut node = Members::new(member(0, 1), Config::default(), 1);
+            let mut update = update(generated);
+            update.member = member(0, 1);
+            update.member.incarnation = u64::from(generated.incarnation);
+            let message = Message {
+                from: member(9, 1),
+                kind: Kind::Ping(7),
+                updates: vec![update.clone()],
+            };
+            let answers = node.receive(message, Duration::ZERO);
+            let refutation = (answers[0].message.from.incarnation, State::Alive);
+            let alive = update.state == State::Alive;
+            assert!(alive || refutation > (update.member.incarnation, update.state));
+        });
 }
