--- a/coordination/src/claim.rs
+++ b/coordination/src/claim.rs
@@ -1,10 +1,11 @@
-//! At most once: a claim on a caller's identifier, held in the platform's store.
+//! At-most-once execution of calls, by a claim on the caller's identifier in the platform's store.
 //!
-//! A [`Call`] runs one call under a caller's identifier. It is fed what the store, the claimer and
-//! the backend server answered, and returns what to do next. The first byte goes out only after a
-//! claim that names this entry has been confirmed. A claim passes to another entry only on the
-//! word of its claimer (see [`Ledger`]), never because of time or silence, so that a late write or
-//! a paused claimer cannot make the call run twice.
+//! A [`Call`] is the state machine of one call under a caller's identifier. Its inputs are the
+//! responses of the store, the current claimer and the backend server; its outputs are the next
+//! actions. The first byte is sent only after a claim that names this entry has been confirmed.
+//! Another entry takes a claim over only if the claimer reports that it never sent the call (see
+//! [`Ledger`]), never after a time-out, so that a late write or a paused claimer cannot make the
+//! call run twice.
 //!
 //! ```
 //! use std::time::Duration;
@@ -39,9 +40,10 @@
 /// Bounds on one call.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time from asking for a claim to the first byte, without reading the claim again.
+    /// Longest time from the write or read that confirms a claim to the first byte; after it the
+    /// claim is read again.
     pub confirmation_ttl: Duration,
-    /// Most calls to the store and to claimers before the call is given up.
+    /// Highest number of writes, reads and status queries before the call is abandoned.
     pub rounds: u32,
 }
 
@@ -54,17 +56,17 @@
     }
 }
 
-/// What a call waits for.
+/// State of a call, named after the input that it expects.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Phase {
     Writing { expected: u64 },
-    Settling { expected: u64 },
-    Asking { revision: u64 },
-    Verifying { word: Option<Status> },
+    ResolvingWrite { expected: u64 },
+    QueryingClaimer { revision: u64 },
+    Verifying { status: Option<Status> },
     Confirmed { revision: u64 },
     Rechecking,
     Sent { revision: u64 },
-    Ended { remainder: Cleanup, word: Status },
+    Ended { cleanup: Cleanup, status: Status },
 }
 
 /// One call under a caller's identifier.
@@ -74,12 +76,13 @@
     limits: Limits,
     phase: Phase,
     rounds: u32,
-    trusted_since: Duration,
-    loose: bool,
+    confirmation_started: Duration,
+    may_be_stored: bool,
 }
 
 impl Call {
-    /// Begins a call: `claimer` is this entry with a sequence number never used before.
+    /// Starts a call and returns its first action. `claimer` is this entry with a sequence number
+    /// that it has never used before.
     #[must_use]
     pub fn begin(
         claimer: Claimer,
@@ -97,114 +100,118 @@
             limits,
             phase: Phase::Writing { expected: 0 },
             rounds: 0,
-            trusted_since: now,
-            loose: false,
+            confirmation_started: now,
+            may_be_stored: false,
         };
         let first = call.put(0, now);
         (call, first)
     }
 
-    /// Returns who claims.
+    /// Returns the claimer of this call.
     #[must_use]
     pub fn claimer(&self) -> &Claimer {
         &self.record.claimer
     }
 
-    /// Returns whether the first byte may have gone out.
+    /// Returns whether the first byte may have been sent.
     #[must_use]
     pub fn sent(&self) -> bool {
         matches!(self.phase, Phase::Sent { .. })
     }
 
-    /// Returns what is left to do in the store once the call has ended.
+    /// Returns the store operation that remains after the call has ended.
     #[must_use]
     pub fn cleanup(&self) -> Cleanup {
         match &self.phase {
-            Phase::Ended { remainder, .. } => remainder.clone(),
+            Phase::Ended { cleanup, .. } => cleanup.clone(),
             _ => Cleanup::Nothing,
         }
     }
 
-    /// Returns what this entry may tell others about the call.
+    /// Returns the status of the call to report to other entries.
     #[must_use]
     pub fn status(&self) -> Status {
         match &self.phase {
-            Phase::Ended { word, .. } => word.clone(),
+            Phase::Ended { status, .. } => status.clone(),
             _ => Status::Running,
         }
     }
 
-    /// Takes an input and returns what to do next; an input that does not fit ends the call.
+    /// Processes an input and returns the next action. An input that the state does not expect ends
+    /// the call.
     pub fn step(&mut self, input: Input, now: Duration) -> Action {
         let phase = std::mem::replace(
             &mut self.phase,
             Phase::Ended {
-                remainder: Cleanup::Nothing,
-                word: Status::Unknown,
+                cleanup: Cleanup::Nothing,
+                status: Status::Unknown,
             },
         );
         match (phase, input) {
             (Phase::Writing { .. }, Input::Written(revision)) => self.confirm(revision),
-            (Phase::Writing { .. }, Input::Conflict(held)) => self.meet(held, now),
+            (Phase::Writing { .. }, Input::Conflict(held)) => self.handle_existing(held, now),
             (Phase::Writing { expected }, Input::Lost) => {
-                self.loose = true;
-                self.phase = Phase::Settling { expected };
+                self.may_be_stored = true;
+                self.phase = Phase::ResolvingWrite { expected };
                 self.read(now)
             }
-            (Phase::Settling { expected }, Input::Found(held)) => self.settle(expected, held, now),
-            (Phase::Asking { revision }, Input::Status(word)) => self.heed(revision, word, now),
-            (Phase::Verifying { word }, Input::Found(found)) => self.verify(word.as_ref(), found),
-            (Phase::Verifying { word }, _) => self.unsure(word.as_ref()),
-            (Phase::Confirmed { revision }, Input::Prepared) => self.depart(revision, now),
+            (Phase::ResolvingWrite { expected }, Input::Found(held)) => {
+                self.resolve_lost_write(expected, held, now)
+            }
+            (Phase::QueryingClaimer { revision }, Input::Status(status)) => {
+                self.handle_status(revision, status, now)
+            }
+            (Phase::Verifying { status }, Input::Found(found)) => {
+                self.verify(status.as_ref(), found)
+            }
+            (Phase::Verifying { status }, _) => self.finish_unknown(status.as_ref()),
+            (Phase::Confirmed { revision }, Input::Prepared) => self.send_if_fresh(revision, now),
             (Phase::Rechecking, Input::Found(Some(held))) if self.owns(&held) => {
                 self.confirm(held.revision)
             }
-            (Phase::Rechecking, Input::Found(_)) => self.not_run(Reason::ClaimLost),
-            (Phase::Sent { revision }, Input::Replied(answer)) => self.ran(revision, answer),
+            (Phase::Rechecking, Input::Found(_)) => self.finish_not_run(Reason::ClaimLost),
+            (Phase::Sent { revision }, Input::Replied(answer)) => self.finish_ran(revision, answer),
             (Phase::Sent { revision } | Phase::Confirmed { revision }, Input::Refused) => {
-                let remainder = Cleanup::Delete { expected: revision };
-                self.end(
-                    Outcome::NotRun(Reason::Refused),
-                    remainder,
-                    Status::NeverSent,
-                )
+                let cleanup = Cleanup::Delete { expected: revision };
+                self.end(Outcome::NotRun(Reason::Refused), cleanup, Status::NeverSent)
             }
             (Phase::Sent { .. }, _) => {
                 let outcome = Outcome::Unknown(Reason::AnswerLost);
                 self.end(outcome, Cleanup::Nothing, Status::Unknown)
             }
-            // Nothing that comes after the end may make it look as if the call had not run.
+            // An input after the end must not turn the outcome into `NotRun`: the call may have
+            // run.
             (ended @ Phase::Ended { .. }, _) => {
                 self.phase = ended;
                 Action::Finish(Outcome::Unknown(Reason::AnswerLost))
             }
-            _ => self.not_run(Reason::StoreUnavailable),
+            _ => self.finish_not_run(Reason::StoreUnavailable),
         }
     }
 
     /// Writes the claim.
     fn put(&mut self, expected: u64, now: Duration) -> Action {
         if self.exhausted() {
-            return self.not_run(Reason::Contended);
+            return self.finish_not_run(Reason::Contended);
         }
         self.phase = Phase::Writing { expected };
-        self.trusted_since = now;
+        self.confirmation_started = now;
         Action::Put {
             record: self.record.clone(),
             expected,
         }
     }
 
-    /// Reads the claim; the phase says what for.
+    /// Reads the claim, for the purpose that the phase records.
     fn read(&mut self, now: Duration) -> Action {
         if self.exhausted() {
-            return self.not_run(Reason::Contended);
+            return self.finish_not_run(Reason::Contended);
         }
-        self.trusted_since = now;
+        self.confirmation_started = now;
         Action::Read
     }
 
-    /// Counts a round and returns whether none was left.
+    /// Counts a round and returns whether the limit was exceeded.
     fn exhausted(&mut self) -> bool {
         self.rounds += 1;
         self.rounds > self.limits.rounds
@@ -215,26 +222,26 @@
         held.record.claimer == self.record.claimer
     }
 
-    /// The claim is this call's.
+    /// Records that the store holds this call's claim.
     fn confirm(&mut self, revision: u64) -> Action {
-        self.loose = true;
+        self.may_be_stored = true;
         self.phase = Phase::Confirmed { revision };
         Action::Prepare
     }
 
-    /// The store holds this instead of the claim that was to be written.
-    fn meet(&mut self, held: Option<Held>, now: Duration) -> Action {
+    /// Handles a write refused because the store holds `held` under the key.
+    fn handle_existing(&mut self, held: Option<Held>, now: Duration) -> Action {
         match held {
             None => self.put(0, now),
             Some(held) if self.owns(&held) => self.confirm(held.revision),
             Some(held) if held.record.binding != self.record.binding => {
-                self.not_run(Reason::Mismatch)
+                self.finish_not_run(Reason::Mismatch)
             }
             Some(held) => match held.record.answer {
-                Some(answer) => self.ran_before(answer),
-                None if self.exhausted() => self.not_run(Reason::Contended),
+                Some(answer) => self.finish_ran_before(answer),
+                None if self.exhausted() => self.finish_not_run(Reason::Contended),
                 None => {
-                    self.phase = Phase::Asking {
+                    self.phase = Phase::QueryingClaimer {
                         revision: held.revision,
                     };
                     Action::QueryClaimer(held.record.claimer)
@@ -243,44 +250,45 @@
         }
     }
 
-    /// A write's answer was lost and the store now holds this.
-    fn settle(&mut self, expected: u64, held: Option<Held>, now: Duration) -> Action {
+    /// Handles a read that followed a write without a response: the write is repeated if the key is
+    /// unchanged.
+    fn resolve_lost_write(&mut self, expected: u64, held: Option<Held>, now: Duration) -> Action {
         let unchanged = held.as_ref().map_or(0, |held| held.revision) == expected;
         if unchanged {
             return self.put(expected, now);
         }
-        self.meet(held, now)
+        self.handle_existing(held, now)
     }
 
-    /// The claimer of a claim gave its word.
-    fn heed(&mut self, revision: u64, word: Option<Status>, now: Duration) -> Action {
-        match word {
-            Some(Status::Ran(answer)) => self.ran_before(answer),
+    /// Handles the status that the claimer of an existing claim reported, if it responded.
+    fn handle_status(&mut self, revision: u64, status: Option<Status>, now: Duration) -> Action {
+        match status {
+            Some(Status::Ran(answer)) => self.finish_ran_before(answer),
             Some(Status::NeverSent) => self.put(revision, now),
             Some(Status::Running | Status::Unknown) | None if self.exhausted() => {
-                self.unsure(word.as_ref())
+                self.finish_unknown(status.as_ref())
             }
             Some(Status::Running | Status::Unknown) | None => {
-                self.phase = Phase::Verifying { word };
+                self.phase = Phase::Verifying { status };
                 Action::Read
             }
         }
     }
 
-    /// The claim was read once more because its claimer could not say whether the call ran.
-    fn verify(&mut self, word: Option<&Status>, found: Option<Held>) -> Action {
+    /// Handles the second read of a claim whose claimer could not report whether the call ran.
+    fn verify(&mut self, status: Option<&Status>, found: Option<Held>) -> Action {
         let answer = found
             .filter(|found| found.record.binding == self.record.binding)
             .and_then(|found| found.record.answer);
         match answer {
-            Some(answer) => self.ran_before(answer),
-            None => self.unsure(word),
+            Some(answer) => self.finish_ran_before(answer),
+            None => self.finish_unknown(status),
         }
     }
 
-    /// The call is about to be sent.
-    fn depart(&mut self, revision: u64, now: Duration) -> Action {
-        if now.saturating_sub(self.trusted_since) <= self.limits.confirmation_ttl {
+    /// Sends the call, or reads the claim again if its confirmation is too old.
+    fn send_if_fresh(&mut self, revision: u64, now: Duration) -> Action {
+        if now.saturating_sub(self.confirmation_started) <= self.limits.confirmation_ttl {
             self.phase = Phase::Sent { revision };
             return Action::Send;
         }
@@ -288,44 +296,44 @@
         self.read(now)
     }
 
-    /// The call ran here.
-    fn ran(&mut self, revision: u64, answer: Answer) -> Action {
+    /// Ends a call that ran at this entry; its answer is to be stored in the claim.
+    fn finish_ran(&mut self, revision: u64, answer: Answer) -> Action {
         let record = Record {
             answer: Some(answer.clone()),
             ..self.record.clone()
         };
-        let remainder = Cleanup::Keep {
+        let cleanup = Cleanup::Keep {
             record,
             expected: revision,
         };
-        self.end(Outcome::Ran, remainder, Status::Ran(answer))
+        self.end(Outcome::Ran, cleanup, Status::Ran(answer))
     }
 
-    /// The call ran before.
-    fn ran_before(&mut self, answer: Answer) -> Action {
-        let remainder = self.withdrawal();
-        self.end(Outcome::RanBefore(answer), remainder, Status::NeverSent)
+    /// Ends the call with the stored answer of an earlier run.
+    fn finish_ran_before(&mut self, answer: Answer) -> Action {
+        let cleanup = self.unsent_cleanup();
+        self.end(Outcome::RanBefore(answer), cleanup, Status::NeverSent)
     }
 
-    /// The claimer's call may have run.
-    fn unsure(&mut self, word: Option<&Status>) -> Action {
-        let reason = match word {
+    /// Ends the call because the claimer of the existing claim may have run it.
+    fn finish_unknown(&mut self, status: Option<&Status>) -> Action {
+        let reason = match status {
             Some(Status::Running) => Reason::StillRunning,
             _ => Reason::ClaimerSilent,
         };
-        let remainder = self.withdrawal();
-        self.end(Outcome::Unknown(reason), remainder, Status::NeverSent)
+        let cleanup = self.unsent_cleanup();
+        self.end(Outcome::Unknown(reason), cleanup, Status::NeverSent)
     }
 
-    /// The call was not sent and will not be.
-    fn not_run(&mut self, reason: Reason) -> Action {
-        let remainder = self.withdrawal();
-        self.end(Outcome::NotRun(reason), remainder, Status::NeverSent)
+    /// Ends a call that was not sent and will not be.
+    fn finish_not_run(&mut self, reason: Reason) -> Action {
+        let cleanup = self.unsent_cleanup();
+        self.end(Outcome::NotRun(reason), cleanup, Status::NeverSent)
     }
 
-    /// Returns what is left of a call that was not sent.
-    fn withdrawal(&self) -> Cleanup {
-        if self.loose {
+    /// Returns the store operation that remains after a call that was not sent.
+    fn unsent_cleanup(&self) -> Cleanup {
+        if self.may_be_stored {
             Cleanup::Withdraw
         } else {
             Cleanup::Nothing
@@ -333,8 +341,8 @@
     }
 
     /// Ends the call.
-    fn end(&mut self, outcome: Outcome, remainder: Cleanup, word: Status) -> Action {
-        self.phase = Phase::Ended { remainder, word };
+    fn end(&mut self, outcome: Outcome, cleanup: Cleanup, status: Status) -> Action {
+        self.phase = Phase::Ended { cleanup, status };
         Action::Finish(outcome)
     }
 }
--- a/coordination/src/claim/identifier.rs
+++ b/coordination/src/claim/identifier.rs
@@ -1,4 +1,4 @@
-//! The caller's identifier of a call: a `UUIDv7`, whose age is known.
+//! The caller's identifier of a call: a `UUIDv7`, which contains the time at which it was made.
 
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -10,54 +10,54 @@
 
 use super::Body;
 
-/// Prefix of the keys that hold claims.
+/// Prefix of the store keys of claims.
 pub const PREFIX: &str = "claims/";
 
-/// Span of time whose claims are swept together.
+/// Time span whose claims are deleted together after they have expired.
 pub const BUCKET: Duration = Duration::from_mins(1);
 
-/// Bytes of the hash of account and service that are part of a key.
+/// Length, in bytes, of the hash of account and service in a key.
 const SCOPE_BYTES: usize = 16;
 
 /// Why an identifier was refused.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// It is not a `UUIDv7`.
+    /// The text is not a `UUIDv7`.
     #[snafu(display("`{text}` is not a UUID of version 7; make a new one for each new call"))]
     Malformed {
-        /// What was sent instead.
+        /// The text that was sent, cut to 64 characters.
         text: String,
     },
-    /// It is older than the window in which answers are kept.
+    /// The identifier is older than the retention period of answers.
     #[snafu(display(
         "the identifier is older than {} s, and whether its call ran is no longer known; read the record, then decide whether to call again with a new one",
         window.as_secs()
     ))]
     TooOld {
-        /// The window.
+        /// Retention period of answers.
         window: Duration,
     },
-    /// It was made later than now.
+    /// The identifier was made in the future, by more than the tolerated clock skew.
     #[snafu(display(
         "the identifier lies more than {} s in the future; set the clock of the machine that made it",
         skew.as_secs()
     ))]
     FromFuture {
-        /// Tolerated difference of clocks.
+        /// Tolerated clock skew.
         skew: Duration,
     },
 }
 
-/// How long an identifier is good for.
+/// Validity period of identifiers.
 #[derive(Clone, Copy, Debug)]
 pub struct Window {
-    /// Age over which identifiers are refused.
+    /// Age above which identifiers are refused.
     pub retention: Duration,
-    /// Largest difference between the clocks of callers and entries.
+    /// Tolerated skew between the clocks of callers and entries.
     pub skew: Duration,
 }
 
-/// A caller's identifier that was in its window when it was checked.
+/// A caller's identifier that was valid when it was checked.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Identifier {
     id: Uuid,
@@ -65,11 +65,11 @@
 }
 
 impl Identifier {
-    /// Checks an identifier; `now` is the time since the Unix epoch.
+    /// Parses and validates an identifier; `now` is the time since the Unix epoch.
     ///
     /// # Errors
     ///
-    /// Returns that it is malformed or outside its window.
+    /// Returns an error if the text is not a `UUIDv7` or its time lies outside the window.
     pub fn check(text: &str, now: Duration, window: Window) -> Result<Self, Error> {
         let id = Uuid::try_parse(text).ok();
         let id = id.filter(|id| id.get_version_num() == 7);
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Returns the key that holds the claim of this identifier for one account and service.
+    /// Returns the store key of the claim on this identifier for one account and service.
     #[must_use]
     pub fn key(&self, account: &str, service: &str) -> String {
         let scope = hex(&digest(&[account.as_bytes(), service.as_bytes()])[..SCOPE_BYTES]);
@@ -98,19 +98,20 @@
     }
 }
 
-/// Returns the number of the bucket of a time since the Unix epoch.
+/// Returns the bucket number of a time since the Unix epoch.
 #[must_use]
 pub fn bucket(made: Duration) -> u64 {
     made.as_secs() / BUCKET.as_secs()
 }
 
-/// Returns the prefix of the keys of a bucket.
+/// Returns the prefix of the store keys in a bucket.
 #[must_use]
 pub fn prefix(bucket: u64) -> String {
     format!("{PREFIX}{bucket:08x}/")
 }
 
-/// Returns the newest bucket all of whose identifiers every entry refuses.
+/// Returns the newest bucket in which every identifier has expired at every entry, whatever the
+/// clock skew between them.
 #[must_use]
 pub fn sweepable(now: Duration, window: Window) -> Option<u64> {
     let margin = window.retention + window.skew + window.skew;
@@ -118,14 +119,14 @@
     bucket(before).checked_sub(1)
 }
 
-/// Returns the hash that an identifier is bound to.
+/// Returns the hash of the request to which an identifier is bound.
 #[must_use]
 pub fn binding(method: &str, path: &str, body: &[u8]) -> Arc<str> {
     let hash = digest(&[method.as_bytes(), path.as_bytes(), body]);
     Arc::from(hex(&hash))
 }
 
-/// Returns a body as it is kept.
+/// Returns the stored form of a body.
 #[must_use]
 pub fn encode_body(body: &[u8]) -> Body {
     match str::from_utf8(body) {
@@ -134,7 +135,7 @@
     }
 }
 
-/// Returns the bytes of a kept body, or nothing if it cannot be read.
+/// Returns the bytes of a stored body, or nothing if it is not valid hexadecimal.
 #[must_use]
 pub fn decode_body(body: &Body) -> Option<Vec<u8>> {
     match body {
@@ -147,7 +148,8 @@
     }
 }
 
-/// Returns the hash of parts, each preceded by its length so that no two lists look alike.
+/// Returns the hash of a list of parts, each preceded by its length so that different lists do not
+/// hash the same bytes.
 fn digest(parts: &[&[u8]]) -> [u8; 32] {
     let mut hash = Sha256::new();
     for part in parts {
@@ -157,7 +159,7 @@
     hash.finalize().into()
 }
 
-/// Returns bytes in hexadecimal.
+/// Encodes bytes in hexadecimal.
 fn hex(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
--- a/coordination/src/claim/ledger.rs
+++ b/coordination/src/claim/ledger.rs
@@ -1,4 +1,4 @@
-//! What an entry remembers of its own claims, so that it can give its word on them.
+//! An entry's record of its own calls, from which it reports their status to other entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,35 +7,36 @@
 
 use super::{Answer, Body, Claimer};
 
-/// A claimer's word on one of its calls.
+/// Status of a call as its claimer reports it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Status {
-    /// It ran, and this was the answer.
+    /// The call ran with this answer.
     Ran(Answer),
-    /// It was not sent under this claim and never will be: the claim may be taken over.
+    /// The call was not sent under this claim and never will be: another entry may take the claim
+    /// over.
     NeverSent,
-    /// It has not ended.
+    /// The call has not ended.
     Running,
-    /// It may have run, or the claimer does not remember it.
+    /// The call may have run, or the claimer has no record of it.
     Unknown,
 }
 
 /// The calls of one incarnation of an entry.
 ///
-/// Ended calls are forgotten, oldest first, when more than `capacity` of them or more than
-/// `bytes` of their answers are held; the word on a forgotten call is [`Word::Unknown`].
+/// Ended calls are evicted, oldest first, when more than `capacity` of them or more than `bytes`
+/// of their answers are stored; the status of an evicted call is [`Status::Unknown`].
 #[derive(Clone, Debug)]
 pub struct Ledger {
     entry: Arc<str>,
     incarnation: Arc<str>,
     address: Arc<str>,
-    last: u64,
+    last_sequence: u64,
     running: BTreeSet<u64>,
     ended: BTreeMap<u64, Status>,
     capacity: usize,
     bytes: usize,
-    held: usize,
+    answer_bytes: usize,
 }
 
 impl Ledger {
@@ -46,48 +47,48 @@
             entry,
             incarnation,
             address: Arc::from(""),
-            last: 0,
+            last_sequence: 0,
             running: BTreeSet::new(),
             ended: BTreeMap::new(),
             capacity,
             bytes,
-            held: 0,
+            answer_bytes: 0,
         }
     }
 
-    /// Sets the address at which other entries ask this one.
+    /// Sets the address at which other entries query this one.
     pub fn set_address(&mut self, address: Arc<str>) {
         self.address = address;
     }
 
     /// Opens a call and returns its claimer.
     pub fn open(&mut self) -> Claimer {
-        self.last += 1;
-        self.running.insert(self.last);
+        self.last_sequence += 1;
+        self.running.insert(self.last_sequence);
         Claimer {
             entry: Arc::clone(&self.entry),
             incarnation: Arc::clone(&self.incarnation),
             address: Arc::clone(&self.address),
-            sequence: self.last,
+            sequence: self.last_sequence,
         }
     }
 
-    /// Closes a call with the word that is to be given on it.
-    pub fn close(&mut self, sequence: u64, word: Status) {
+    /// Closes a call with the status to report for it.
+    pub fn close(&mut self, sequence: u64, status: Status) {
         if !self.running.remove(&sequence) {
             return;
         }
-        self.held += size(&word);
-        self.ended.insert(sequence, word);
-        while self.ended.len() > self.capacity || self.held > self.bytes {
-            let Some((_, word)) = self.ended.pop_first() else {
+        self.answer_bytes += size(&status);
+        self.ended.insert(sequence, status);
+        while self.ended.len() > self.capacity || self.answer_bytes > self.bytes {
+            let Some((_, status)) = self.ended.pop_first() else {
                 return;
             };
-            self.held -= size(&word);
+            self.answer_bytes -= size(&status);
         }
     }
 
-    /// Returns this entry's word on a claim, or nothing if the claim is not this incarnation's.
+    /// Returns the status of a claimer's call, or nothing if another entry or incarnation made it.
     #[must_use]
     pub fn status(&self, claimer: &Claimer) -> Option<Status> {
         if claimer.entry != self.entry || claimer.incarnation != self.incarnation {
@@ -96,8 +97,8 @@
         if self.running.contains(&claimer.sequence) {
             return Some(Status::Running);
         }
-        let word = self.ended.get(&claimer.sequence).cloned();
-        Some(word.unwrap_or(Status::Unknown))
+        let status = self.ended.get(&claimer.sequence).cloned();
+        Some(status.unwrap_or(Status::Unknown))
     }
 
     /// Returns how many calls have not ended.
@@ -106,16 +107,16 @@
         self.running.len()
     }
 
-    /// Returns the bytes of answers held.
+    /// Returns the bytes of the stored answers.
     #[must_use]
     pub fn held(&self) -> usize {
-        self.held
+        self.answer_bytes
     }
 }
 
-/// Returns the bytes of the answer in a word.
-fn size(word: &Status) -> usize {
-    match word {
+/// Returns the bytes of the answer body in a status.
+fn size(status: &Status) -> usize {
+    match status {
         Status::Ran(Answer {
             body: Some(Body::Text(body) | Body::Hex(body)),
             ..
--- a/coordination/src/claim/message.rs
+++ b/coordination/src/claim/message.rs
@@ -1,36 +1,36 @@
-//! What a call is told, and what it decides.
+//! Inputs, actions and outcomes of a call.
 
 use super::{Answer, Claimer, Held, Record, Status};
 
-/// What happened.
+/// An event that a call processes.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Input {
     /// The store wrote the record at this revision.
     Written(u64),
-    /// The store refused the write; it holds this.
+    /// The store refused the write because of a revision mismatch; it holds this value.
     Conflict(Option<Held>),
-    /// The store was read and holds this.
+    /// The store was read and holds this value.
     Found(Option<Held>),
-    /// The store's answer was lost: a write may take effect now, later or never.
+    /// The store's response was lost: a write may take effect now, later or never.
     Lost,
-    /// The store did not take the call.
+    /// The store did not accept the operation.
     Unavailable,
-    /// The claimer gave its word, or nothing if it did not answer.
+    /// The status that the claimer reported, or nothing if it did not respond.
     Status(Option<Status>),
-    /// A backend server is chosen and the first byte could go out now.
+    /// A backend server is chosen and the call is ready to be sent.
     Prepared,
-    /// The call ran.
+    /// The call ran with this answer.
     Replied(Answer),
-    /// The call was truly not run, and will not be sent again.
+    /// The backend servers refused the call before it ran, and it will not be sent again.
     Refused,
-    /// The call may have run: its answer was lost.
+    /// The answer was lost: the call may have run.
     AnswerLost,
 }
 
-/// What to do next.
+/// The next action of a call's driver.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Write the record if the key's revision is `expected` (0: if it has no value).
+    /// Write the record if the key's revision is `expected` (0: if the key has no value).
     Put {
         /// The record.
         record: Record,
@@ -39,9 +39,9 @@
     },
     /// Read the key.
     Read,
-    /// Ask a claimer whether its call ran.
+    /// Query a claimer for the status of its call.
     QueryClaimer(Claimer),
-    /// Choose a backend server, then say [`Input::Prepared`].
+    /// Choose a backend server, then pass [`Input::Prepared`].
     Prepare,
     /// Send the call now.
     Send,
@@ -52,41 +52,41 @@
 /// How a call ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// It ran at this entry just now.
+    /// It ran at this entry under this claim.
     Ran,
-    /// It ran before: this is the answer that was kept.
+    /// It ran earlier, with this stored answer.
     RanBefore(Answer),
-    /// It was truly not run under this claim, and never will be.
+    /// It did not run under this claim and never will.
     NotRun(Reason),
     /// It may have run.
     Unknown(Reason),
 }
 
-/// Why a call did not end in an answer.
+/// Why a call ended without an answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reason {
-    /// The store did not answer, so no claim could be confirmed.
+    /// The store did not respond, so no claim could be confirmed.
     StoreUnavailable,
-    /// Others changed the claim again and again.
+    /// Other entries changed the claim until the limit of rounds was reached.
     Contended,
     /// The identifier is bound to another request.
     Mismatch,
-    /// The claim was gone when it was read again before sending.
+    /// The store no longer held the claim when it was read again before sending.
     ClaimLost,
     /// The backend servers refused the call before it ran.
     Refused,
-    /// The answer was lost.
+    /// The answer of the backend server was lost.
     AnswerLost,
-    /// The claimer does not answer or does not know.
+    /// The claimer does not respond or has no record of the call.
     ClaimerSilent,
-    /// The claimer still runs the call.
+    /// The claimer is still running the call.
     StillRunning,
 }
 
-/// What is left to do in the store after a call has ended.
+/// The store operation that remains after a call has ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Cleanup {
-    /// Nothing.
+    /// No operation.
     Nothing,
     /// Write the record with its answer if the revision is still `expected`.
     Keep {
@@ -100,6 +100,7 @@
         /// Expected revision.
         expected: u64,
     },
-    /// The claim may be in the store or may still come: read it, and delete it if it is this call's.
+    /// The claim may be in the store, or a delayed write may still store it: read it, and delete it
+    /// if it is this call's.
     Withdraw,
 }
--- a/coordination/src/claim/record.rs
+++ b/coordination/src/claim/record.rs
@@ -1,30 +1,30 @@
-//! A claim as it is held in the store.
+//! The stored form of a claim.
 
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-/// Who holds a claim: one call at one incarnation of one entry.
+/// The holder of a claim: one call at one incarnation of one entry.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Claimer {
     /// Name of the entry.
     pub entry: Arc<str>,
-    /// Incarnation of the entry: another one after each start.
+    /// Incarnation of the entry; it changes with each start.
     pub incarnation: Arc<str>,
-    /// Address at which other entries ask the claimer.
+    /// Address at which other entries query the claimer.
     pub address: Arc<str>,
-    /// Number of the call at that incarnation.
+    /// Sequence number of the call within the incarnation.
     pub sequence: u64,
 }
 
-/// A claim as the store holds it.
+/// A claim as it is stored.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Who holds the claim.
+    /// Holder of the claim.
     pub claimer: Claimer,
-    /// Hash of method, path and body that the identifier is bound to.
+    /// Hash of the method, path and body to which the identifier is bound.
     pub binding: Arc<str>,
-    /// The answer, once the call has run.
+    /// The answer, after the call has run.
     pub answer: Option<Answer>,
 }
 
@@ -37,22 +37,22 @@
     pub revision: u64,
 }
 
-/// A kept answer of a call that ran.
+/// The stored answer of a call that ran.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
     pub content_type: Option<Arc<str>>,
-    /// The body, or nothing if it was too large to be kept.
+    /// The body, or nothing if it was too large to store.
     pub body: Option<Body>,
 }
 
-/// The body of a kept answer.
+/// The body of a stored answer.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Body {
-    /// A body in UTF-8.
+    /// A valid UTF-8 body.
     Text(Arc<str>),
     /// Any other body, in hexadecimal.
     Hex(Arc<str>),
--- a/coordination/tests/claim.rs
+++ b/coordination/tests/claim.rs
@@ -1,4 +1,5 @@
-//! Claims: any interleaving of calls, faults and deaths against a model of store and service.
+//! Claims under any interleaving of calls, lost responses and crashes, with a model of the store
+//! and the service: a call runs at most once, and no outcome denies a run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,24 +14,24 @@
 const ENTRIES: usize = 3;
 const CALLS: usize = 8;
 
-/// What is on its way to the store, a claimer or the service.
+/// A message to the store, a claimer or the service.
 #[derive(Clone, Debug)]
 enum Message {
     Put(Record, u64),
     Read,
     Withdraw(Claimer),
     Delete(u64),
-    Ask(Claimer),
+    QueryClaimer(Claimer),
     Send(usize),
 }
 
-/// A message, who waits for its answer, and the answer once it took effect.
+/// A message in flight, the call that waits for its answer, and the answer after it took effect.
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlight {
     message: Message,
     waiter: Option<usize>,
     answer: Option<Input>,
-    effected: bool,
+    applied: bool,
 }
 
 struct Running {
@@ -42,12 +43,12 @@
     outcome: Option<Outcome>,
 }
 
-/// A store, a service and entries; the bytes choose what happens next.
+/// A model of a store, a service and entries; the test input selects the next event.
 struct World {
     ledgers: Vec<Ledger>,
     incarnations: u64,
     calls: Vec<Running>,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     stored: Vec<Option<Held>>,
     revision: u64,
     answered: Option<Answer>,
@@ -60,7 +61,7 @@
             ledgers: Vec::new(),
             incarnations: 0,
             calls: Vec::new(),
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             stored: vec![None],
             revision: 0,
             answered: None,
@@ -94,14 +95,14 @@
             runs: 0,
             outcome: None,
         });
-        self.act(self.calls.len() - 1, action);
+        self.execute(self.calls.len() - 1, action);
     }
 
-    fn act(&mut self, index: usize, action: Action) {
+    fn execute(&mut self, index: usize, action: Action) {
         let message = match action {
             Action::Put { record, expected } => Message::Put(record, expected),
             Action::Read => Message::Read,
-            Action::QueryClaimer(claimer) => Message::Ask(claimer),
+            Action::QueryClaimer(claimer) => Message::QueryClaimer(claimer),
             Action::Prepare => {
                 self.calls[index].prepared = true;
                 return;
@@ -109,15 +110,15 @@
             Action::Send => Message::Send(index),
             Action::Finish(outcome) => return self.finish(index, outcome),
         };
-        self.fly(message, Some(index));
+        self.enqueue(message, Some(index));
     }
 
-    fn fly(&mut self, message: Message, waiter: Option<usize>) {
-        self.flights.push(Flight {
+    fn enqueue(&mut self, message: Message, waiter: Option<usize>) {
+        self.in_flight.push(InFlight {
             message,
             waiter,
             answer: None,
-            effected: false,
+            applied: false,
         });
     }
 
@@ -131,9 +132,11 @@
         self.ledgers[running.entry].close(claimer.sequence, running.call.status());
         match running.call.cleanup() {
             Cleanup::Nothing => {}
-            Cleanup::Keep { record, expected } => self.fly(Message::Put(record, expected), None),
-            Cleanup::Delete { expected } => self.fly(Message::Delete(expected), None),
-            Cleanup::Withdraw => self.fly(Message::Withdraw(claimer), None),
+            Cleanup::Keep { record, expected } => {
+                self.enqueue(Message::Put(record, expected), None);
+            }
+            Cleanup::Delete { expected } => self.enqueue(Message::Delete(expected), None),
+            Cleanup::Withdraw => self.enqueue(Message::Withdraw(claimer), None),
         }
     }
 
@@ -142,7 +145,7 @@
             return;
         }
         let action = self.calls[index].call.step(input, self.now);
-        self.act(index, action);
+        self.execute(index, action);
     }
 
     fn current(&self) -> Option<Held> {
@@ -161,13 +164,12 @@
         Input::Written(revision)
     }
 
-    /// A message takes effect; a read returns the state `age` changes ago, and the service may
-    /// refuse.
-    fn effect(&mut self, position: usize, age: usize, refused: bool) {
-        if std::mem::replace(&mut self.flights[position].effected, true) {
+    /// Applies a message: a read returns the state `age` changes ago, and the service may refuse.
+    fn apply(&mut self, position: usize, age: usize, refused: bool) {
+        if std::mem::replace(&mut self.in_flight[position].applied, true) {
             return;
         }
-        let flight = self.flights[position].clone();
+        let flight = self.in_flight[position].clone();
         let past = self.stored[self.stored.len() - 1 - age % self.stored.len()].clone();
         let answer = match flight.message {
             Message::Put(record, expected) => self.write(Some(record), expected),
@@ -175,22 +177,22 @@
             Message::Withdraw(claimer) => {
                 let own = past.filter(|held| held.record.claimer == claimer);
                 if let Some(held) = own.filter(|held| held.record.answer.is_none()) {
-                    self.fly(Message::Delete(held.revision), None);
+                    self.enqueue(Message::Delete(held.revision), None);
                 }
                 Input::Lost
             }
             Message::Delete(expected) => self.write(None, expected),
-            Message::Ask(claimer) => {
-                let word = self
+            Message::QueryClaimer(claimer) => {
+                let status = self
                     .ledgers
                     .iter()
                     .find_map(|ledger| ledger.status(&claimer));
-                Input::Status(word)
+                Input::Status(status)
             }
             Message::Send(_) if refused => Input::Refused,
             Message::Send(index) => Input::Replied(self.run(index)),
         };
-        self.flights[position].answer = Some(answer);
+        self.in_flight[position].answer = Some(answer);
     }
 
     fn run(&mut self, index: usize) -> Answer {
@@ -204,20 +206,20 @@
         answer
     }
 
-    /// An answer arrives, or is lost; what was lost on its way may still take effect later.
+    /// Delivers an answer or loses it; a message without an answer may still take effect later.
     fn deliver(&mut self, position: usize, lost: bool) {
-        let flight = self.flights[position].clone();
+        let flight = self.in_flight[position].clone();
         let Some(index) = flight.waiter.filter(|_| flight.answer.is_some() || lost) else {
             return;
         };
         let input = match (&flight.message, flight.answer.clone()) {
             (_, Some(answer)) if !lost => answer,
             (Message::Send(_), _) => Input::AnswerLost,
-            (Message::Ask(_), _) => Input::Status(None),
+            (Message::QueryClaimer(_), _) => Input::Status(None),
             (Message::Put(..), None) if position.is_multiple_of(2) => Input::Unavailable,
             _ => Input::Lost,
         };
-        self.flights[position].waiter = None;
+        self.in_flight[position].waiter = None;
         if self.calls[index].outcome.is_none() {
             self.input(index, input);
         }
@@ -232,16 +234,18 @@
     }
 
     fn event(&mut self, kind: u8, which: u8) {
-        self.flights
-            .retain(|flight| !flight.effected || flight.waiter.is_some());
+        self.in_flight
+            .retain(|flight| !flight.applied || flight.waiter.is_some());
         let which = usize::from(which);
-        let position = which % self.flights.len().max(1);
+        let position = which % self.in_flight.len().max(1);
         match kind % 16 {
             0 | 1 => self.begin(which % ENTRIES),
-            2..=5 if position < self.flights.len() => self.effect(position, 0, which / 16 == 0),
-            6 if position < self.flights.len() => self.effect(position, which / 8, which / 16 == 0),
-            7..=10 if position < self.flights.len() => self.deliver(position, false),
-            11 if position < self.flights.len() => self.deliver(position, true),
+            2..=5 if position < self.in_flight.len() => self.apply(position, 0, which / 16 == 0),
+            6 if position < self.in_flight.len() => {
+                self.apply(position, which / 8, which / 16 == 0)
+            }
+            7..=10 if position < self.in_flight.len() => self.deliver(position, false),
+            11 if position < self.in_flight.len() => self.deliver(position, true),
             12 | 13 if !self.calls.is_empty() => {
                 let index = which % self.calls.len();
                 if std::mem::take(&mut self.calls[index].prepared) {
@@ -261,11 +265,11 @@
             let not_run = matches!(running.outcome, Some(Outcome::NotRun(_)));
             assert!(
                 !not_run || running.runs == 0,
-                "told not-run but ran: {:?}",
+                "reported as not run but ran: {:?}",
                 running.outcome
             );
             let ran = matches!(running.outcome, Some(Outcome::Ran));
-            assert!(!ran || running.runs == 1, "told ran but did not run");
+            assert!(!ran || running.runs == 1, "reported as run but did not run");
         }
     }
 }
@@ -284,11 +288,11 @@
         });
 }
 
-/// Worlds that each input of the test below draws.
+/// Number of random event sequences per input of the test below.
 const WORLDS: usize = 40;
 
 #[test]
-fn no_drawn_interleaving_runs_a_call_twice_or_denies_that_it_ran() {
+fn no_random_interleaving_runs_a_call_twice_or_denies_that_it_ran() {
     check!().with_type::<u64>().for_each(|seed| {
         let mut random = ChaCha8Rng::seed_from_u64(*seed);
         for _ in 0..WORLDS {
@@ -302,8 +306,8 @@
 }
 
 #[test]
-fn nothing_after_the_end_denies_that_the_call_ran() {
-    let mut world = sent();
+fn no_input_after_the_end_denies_that_the_call_ran() {
+    let mut world = world_with_sent_call();
     world.input(0, Input::AnswerLost);
     let call = &mut world.calls[0].call;
     for input in [Input::Lost, Input::Refused, Input::Prepared] {
@@ -313,11 +317,11 @@
     }
 }
 
-/// Runs everything in its order, without faults.
-fn settle(world: &mut World) {
+/// Applies and delivers all messages in order, without faults.
+fn run_to_completion(world: &mut World) {
     for _ in 0..64 {
-        for position in 0..world.flights.len() {
-            world.effect(position, 0, false);
+        for position in 0..world.in_flight.len() {
+            world.apply(position, 0, false);
             world.deliver(position, false);
         }
         for index in 0..world.calls.len() {
@@ -333,40 +337,40 @@
 fn a_retry_through_another_entry_gets_the_kept_answer() {
     let mut world = World::new();
     world.begin(0);
-    settle(&mut world);
+    run_to_completion(&mut world);
     assert_eq!(world.calls[0].outcome, Some(Outcome::Ran));
     world.kill(0);
     world.begin(1);
-    settle(&mut world);
+    run_to_completion(&mut world);
     let answer = world.answered.clone().expect("it ran");
     assert_eq!(world.calls[1].outcome, Some(Outcome::RanBefore(answer)));
 }
 
 #[test]
-fn a_lost_claim_answer_is_settled_by_reading_back() {
+fn a_lost_write_response_is_resolved_by_reading_the_claim() {
     let mut world = World::new();
     world.begin(0);
-    world.effect(0, 0, false);
+    world.apply(0, 0, false);
     world.deliver(0, true);
-    world.effect(1, 0, false);
+    world.apply(1, 0, false);
     world.deliver(1, false);
     assert!(world.calls[0].prepared);
-    settle(&mut world);
+    run_to_completion(&mut world);
     assert_eq!(world.calls[0].outcome, Some(Outcome::Ran));
 }
 
 #[test]
-fn a_claim_that_comes_late_is_never_sent_and_is_handed_over() {
+fn a_claim_written_late_is_never_sent_and_is_handed_over() {
     let mut world = World::new();
     world.begin(0);
-    world.flights[0].waiter = None;
+    world.in_flight[0].waiter = None;
     world.input(0, Input::Lost);
     world.input(0, Input::Unavailable);
     assert!(matches!(world.calls[0].outcome, Some(Outcome::NotRun(_))));
-    world.effect(0, 0, false);
+    world.apply(0, 0, false);
     assert!(world.current().is_some(), "the late claim is in the store");
     world.begin(1);
-    settle(&mut world);
+    run_to_completion(&mut world);
     assert_eq!(world.calls[1].outcome, Some(Outcome::Ran));
     assert_eq!(world.calls[0].runs, 0);
 }
@@ -375,10 +379,10 @@
 fn a_silent_claimer_means_unknown() {
     let mut world = World::new();
     world.begin(0);
-    world.effect(0, 0, false);
+    world.apply(0, 0, false);
     world.kill(0);
     world.begin(1);
-    settle(&mut world);
+    run_to_completion(&mut world);
     assert!(matches!(world.calls[1].outcome, Some(Outcome::Unknown(_))));
     assert!(world.answered.is_none());
 }
@@ -387,7 +391,7 @@
 fn a_claimer_that_was_paused_reads_its_claim_again() {
     let mut world = World::new();
     world.begin(0);
-    world.effect(0, 0, false);
+    world.apply(0, 0, false);
     world.deliver(0, false);
     world.now += Duration::from_mins(1);
     assert_eq!(
@@ -418,11 +422,11 @@
     assert_eq!(call.status(), Status::NeverSent);
 }
 
-/// Begins a call at entry 0 whose claim is confirmed, and sends it.
-fn sent() -> World {
+/// Returns a world in which entry 0 has a confirmed claim and has sent its call.
+fn world_with_sent_call() -> World {
     let mut world = World::new();
     world.begin(0);
-    world.effect(0, 0, false);
+    world.apply(0, 0, false);
     world.deliver(0, false);
     world.calls[0].prepared = false;
     world.input(0, Input::Prepared);
@@ -430,7 +434,7 @@
 }
 
 #[test]
-fn what_a_claimer_cannot_deny_is_never_sent_again() {
+fn a_call_that_may_have_run_is_never_sent_again() {
     type Fault = fn(&mut World);
     let faults: [(&str, Fault); 5] = [
         ("still running", |_| {}),
@@ -451,16 +455,16 @@
         }),
     ];
     for (name, fault) in faults {
-        let mut world = sent();
+        let mut world = world_with_sent_call();
         fault(&mut world);
         world.begin(1);
-        // The call of entry 0 stays on its way to the service, and may still arrive.
-        let away = world.flights.remove(1);
-        settle(&mut world);
+        // The call of entry 0 stays in flight and may still reach the service.
+        let delayed = world.in_flight.remove(1);
+        run_to_completion(&mut world);
         let outcome = &world.calls[1].outcome;
         assert!(matches!(outcome, Some(Outcome::Unknown(_))), "{name}");
-        world.flights.push(away);
-        settle(&mut world);
+        world.in_flight.push(delayed);
+        run_to_completion(&mut world);
         assert_eq!(world.calls[1].runs, 0, "{name}");
     }
 }
--- a/coordination/tests/claim_identifier.rs
+++ b/coordination/tests/claim_identifier.rs
@@ -1,4 +1,4 @@
-//! Identifiers: their window, their keys and what they are bound to.
+//! Call identifiers: their validity window, their store keys and their binding to a request.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn other_texts_than_uuids_of_version_7_are_refused() {
+fn texts_other_than_version_7_uuids_are_refused() {
     let version_4 = "6f0e5bd4-3b8f-4a3b-9c0e-0d3b6a0f4c11";
     for text in ["", "7", version_4, "x".repeat(1000).as_str()] {
         let refused = Identifier::check(text, NOW, WINDOW).expect_err("it is refused");
@@ -62,20 +62,20 @@
 }
 
 #[test]
-fn bindings_tell_the_parts_apart() {
+fn bindings_separate_method_path_and_body() {
     assert_ne!(binding("POST", "/ab", b"c"), binding("POST", "/a", b"bc"));
     assert_eq!(binding("POST", "/a", b"b"), binding("POST", "/a", b"b"));
 }
 
 #[test]
-fn bodies_are_kept_byte_for_byte() {
+fn stored_bodies_are_decoded_unchanged() {
     check!().with_type::<Vec<u8>>().for_each(|body| {
         assert_eq!(decode_body(&encode_body(body)).as_ref(), Some(body));
     });
 }
 
 #[test]
-fn only_what_every_entry_refuses_is_swept() {
+fn only_buckets_that_every_entry_refuses_are_swept() {
     check!().with_type::<(u32, u32)>().for_each(|(age, lag)| {
         let made = ago(Duration::from_secs(u64::from(*age) % 400_000));
         let swept = sweepable(NOW, WINDOW).is_some_and(|last| identifier::bucket(made) <= last);
