--- a/coordination/src/fencing.rs
+++ b/coordination/src/fencing.rs
@@ -1,14 +1,15 @@
-//! Orders to a server from one holder at a time: an old order never undoes a newer one.
+//! Fenced orders to a backend server: an old order never undoes a newer one.
 //!
-//! A holder takes a lock that a lease holds in the store; the lock's revision is its fencing number.
-//! A server that enforces fencing refuses numbers below the highest seen. For one that ignores it,
-//! a holder orders only while its lease surely outlasts the order, a new holder waits out the
-//! longest order in flight, and each reads the server before its order and after it.
+//! A holder acquires a lock in the store that is bound to a lease; the revision of the lock is the
+//! fencing number of its orders. A server that enforces fencing refuses numbers below the highest
+//! that it has received. For a server that ignores fencing numbers, a holder sends an order only if
+//! its lease is certain to outlast the order, a new holder waits for the longest time that an order
+//! can be in flight, and each holder reads the state of the server before and after its order.
 //!
-//! With a server that ignores fencing this holds as long as no more than twice
-//! [`Policy::order_timeout`] passes between a holder's decision to order and the effect; a holder
-//! that is paused for longer right between the two can undo a newer order once, until the newer
-//! order's holder reads the server again.
+//! With a server that ignores fencing numbers, the guarantee requires that at most twice
+//! [`Policy::order_timeout`] passes between a holder's decision to send an order and its effect. A
+//! holder that is paused for longer between the two can undo a newer order once, until the holder
+//! of the newer order reads the server again.
 //!
 //! ```
 //! use std::time::Duration;
@@ -27,23 +28,23 @@
 
 use std::time::Duration;
 
-/// Bounds on orders.
+/// Limits on orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Policy {
     /// Longest time between sending an order and its effect.
     pub order_timeout: Duration,
-    /// Most orders that one holder sends.
+    /// Highest number of orders that one holder sends.
     pub attempts: u32,
 }
 
-/// What the holder is to do next.
+/// The next action of a holder's driver.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Action {
-    /// Take the lock with a new lease; one that this holder still has must run out before.
+    /// Acquire the lock with a new lease; a lease that this holder still has must expire first.
     Acquire,
     /// Wait until this time.
     Wait {
-        /// The time.
+        /// Time at which to request the next action again.
         until: Duration,
     },
     /// Read the state of the server.
@@ -53,53 +54,54 @@
         /// Fencing number of the order.
         fencing: u64,
     },
-    /// Nothing more.
+    /// Stop: the holder has ended.
     End(Ending),
 }
 
-/// How the holder ended.
+/// The result of a holder.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Ending {
-    /// What came of the order.
+    /// Outcome of the order.
     pub outcome: Outcome,
-    /// Whether the lock may be given up at once; otherwise its lease must run out, since an order
-    /// may still be in flight.
+    /// Whether the lock may be released immediately; otherwise its lease must expire, because an
+    /// order may still be in flight.
     pub release: bool,
 }
 
-/// What came of an order.
+/// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The server is in the ordered state.
     Achieved,
-    /// The server has obeyed a newer holder.
+    /// The server has carried out an order of a newer holder.
     Superseded,
-    /// The server did not come to be in the ordered state.
+    /// The server did not reach the ordered state.
     Failed,
 }
 
-/// The server's answer to an order.
+/// The server's response to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Answer {
-    /// It carried the order out.
+    /// The server carried out the order.
     Done,
-    /// It refused the fencing number.
+    /// The server refused the fencing number.
     Fenced,
     /// The order was not sent, or was refused before it had an effect.
     NotRun,
-    /// The answer was lost: the order may take effect for as long as it can be in flight.
+    /// The response was lost: the order may take effect for as long as it can be in flight.
     Lost,
 }
 
-/// A holder's lock.
+/// An acquired lock: its fencing number, the time until which its lease is certain to last, and the
+/// time from which the holder may use it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 struct Lock {
     fencing: u64,
     until: Duration,
-    quiet_at: Duration,
+    usable_at: Duration,
 }
 
-/// What the holder does next with its lock.
+/// The next step of a holder once its lock is usable.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Step {
     Acquire,
@@ -108,7 +110,7 @@
     End(Outcome),
 }
 
-/// One holder's way to one order.
+/// State machine of one holder that brings a server into one ordered state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Holder {
     policy: Policy,
@@ -120,7 +122,7 @@
 }
 
 impl Holder {
-    /// Returns a holder that is to give an order to a server that enforces fencing, or does not.
+    /// Returns a holder for one order; `enforced` states whether the server enforces fencing.
     #[must_use]
     pub fn new(policy: Policy, enforced: bool) -> Self {
         Self {
@@ -133,7 +135,8 @@
         }
     }
 
-    /// Returns what is to be done at `now`. An order must be sent at once, before anything else.
+    /// Returns the next action at `now`. An order must be sent immediately, before any other
+    /// action.
     pub fn next(&mut self, now: Duration) -> Action {
         match (self.step, self.lock) {
             (Step::End(outcome), _) => Action::End(Ending {
@@ -141,15 +144,16 @@
                 release: self.enforced || now >= self.in_flight_until,
             }),
             (Step::Acquire, _) | (_, None) => Action::Acquire,
-            (_, Some(lock)) if now < lock.quiet_at => Action::Wait {
-                until: lock.quiet_at,
+            (_, Some(lock)) if now < lock.usable_at => Action::Wait {
+                until: lock.usable_at,
             },
             (Step::Read, Some(_)) => Action::Read,
             (Step::Order, Some(lock)) => self.order(lock, now),
         }
     }
 
-    /// Orders if the lease surely outlasts the order.
+    /// Returns the order, or a new acquisition if the lease may expire before the order takes
+    /// effect.
     fn order(&mut self, lock: Lock, now: Duration) -> Action {
         if self.sent >= self.policy.attempts {
             self.step = Step::End(Outcome::Failed);
@@ -168,10 +172,10 @@
         }
     }
 
-    /// Notes at `now` that the lock was taken under revision `fencing`; its lease surely lasts until
-    /// `until`, counted from before it was asked for.
+    /// Records at `now` that the lock was acquired at revision `fencing`. Its lease is certain to
+    /// last until `until`, which is counted from before the lease was requested.
     pub fn record_acquired(&mut self, now: Duration, fencing: u64, until: Duration) {
-        let quiet = if self.enforced {
+        let wait = if self.enforced {
             Duration::ZERO
         } else {
             self.policy.order_timeout
@@ -179,10 +183,10 @@
         self.lock = Some(Lock {
             fencing,
             until,
-            quiet_at: now + quiet,
+            usable_at: now + wait,
         });
-        // An enforcing server must see the new number even if its state is right already: an older
-        // order may be in flight.
+        // An enforcing server must receive the new number even if it is already in the ordered
+        // state, because an older order may still be in flight.
         self.step = if self.enforced {
             Step::Order
         } else {
@@ -190,8 +194,8 @@
         };
     }
 
-    /// Notes what reading the server showed: whether it is in the ordered state, or nothing if it
-    /// could not be read.
+    /// Records whether the server was read to be in the ordered state, or nothing if it could not
+    /// be read.
     pub fn record_read(&mut self, in_state: Option<bool>) {
         self.step = match in_state {
             Some(true) => Step::End(Outcome::Achieved),
@@ -200,7 +204,7 @@
         };
     }
 
-    /// Notes the answer to an order.
+    /// Records the response to an order.
     pub fn record_answer(&mut self, now: Duration, answer: Answer) {
         let may_take_effect = answer == Answer::Lost;
         if !may_take_effect {
--- a/coordination/src/grants.rs
+++ b/coordination/src/grants.rs
@@ -1,8 +1,9 @@
-//! Grants of a backend server's memory to entries, kept as one record in the platform's store.
+//! Grants of a backend server's memory to entries, stored as one record in the platform's store.
 //!
-//! A record lists what each run of each entry may use; compare-and-swap keeps the sum under the
-//! limit, whatever the entries believe of each other. An entry raises its own use only after the
-//! grown record is stored, and lowers its use before it stores a smaller one.
+//! A record lists the tokens that each incarnation of each entry may use. Compare-and-swap keeps
+//! the sum within the limit even if entries have different views of each other. An entry raises its
+//! own use only after the larger grant is stored, and lowers its use before it stores a smaller
+//! one.
 //!
 //! ```
 //! use medlarfall_coordination::grants::Record;
@@ -21,30 +22,31 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// What of one server's memory each holder may use, in tokens.
+/// The memory of one server that each holder may use, in tokens.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Record {
-    /// Tokens by holder: the entry's name and the identifier of its run.
+    /// Tokens by holder, which is named by the entry's name and its incarnation.
     pub grants: BTreeMap<Arc<str>, u64>,
 }
 
-/// A grant that would outgrow the server.
+/// The error of a grant that would exceed the memory of the server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display(
     "the grant would outgrow the server: {free} tokens are free; wait until others return theirs"
 ))]
 pub struct Exceeded {
-    /// Tokens that are not granted to others.
+    /// Tokens that are not granted to other holders.
     pub free: u64,
 }
 
 impl Record {
-    /// Returns the record in which `holder` may use `tokens`; 0 removes the holder.
+    /// Returns a copy of the record in which `holder` may use `tokens`; 0 removes the holder. A
+    /// grant that does not grow is accepted even if the sum exceeds `limit`.
     ///
     /// # Errors
     ///
-    /// Returns what is free if the sum would exceed `limit`.
+    /// Returns the free tokens if the grant grows and the sum would exceed `limit`.
     pub fn with(&self, holder: &str, tokens: u64, limit: u64) -> Result<Self, Exceeded> {
         let others = self.grants.iter().filter(|(name, _)| ***name != *holder);
         let free = limit.saturating_sub(others.map(|(_, tokens)| tokens).sum());
@@ -60,7 +62,7 @@
         Ok(record)
     }
 
-    /// Returns the record without the holders that are gone.
+    /// Returns a copy of the record without the holders for which `gone` returns true.
     #[must_use]
     pub fn without(&self, gone: impl Fn(&str) -> bool) -> Self {
         let mut record = self.clone();
@@ -75,36 +77,38 @@
     }
 }
 
-/// Returns the name under which a run of an entry holds grants.
+/// Returns the holder name of an incarnation of an entry.
 #[must_use]
 pub fn holder(entry: &str, incarnation: &str) -> Arc<str> {
     Arc::from(format!("{entry}@{incarnation}"))
 }
 
-/// Returns the entry and the run that a holder's name is made of.
-fn parts(holder: &str) -> (&str, &str) {
+/// Splits a holder name into the entry's name and its incarnation.
+fn split_holder(holder: &str) -> (&str, &str) {
     holder.split_once('@').unwrap_or((holder, ""))
 }
 
-/// Decides which holders are gone for good, from the platform's list of instances.
+/// Decides which holders are permanently gone, from the platform's list of instances.
 ///
-/// A holder is gone when its entry has been off the list, or has shown another run, for longer than
-/// a grace that covers the list's lag and the time that engines go on with requests nobody reads.
+/// A holder is gone when its entry has been missing from the list, or has had a newer incarnation,
+/// for longer than a grace period. The grace period covers the delay of the list and the time for
+/// which engines continue requests whose reader is gone.
 #[derive(Clone, Debug, Default)]
 pub struct Absences {
     absent_since: BTreeMap<Arc<str>, Duration>,
 }
 
 impl Absences {
-    /// Returns absences of which none has been seen.
+    /// Returns an empty record of absences.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the holders of a record and the entries on the list as seen at `now`.
+    /// Records at `now` which of the holders in a record are absent; `listed` returns whether an
+    /// entry is on the list.
     ///
-    /// Of the runs of one entry the one whose identifier is the highest counts as the present one.
+    /// The highest incarnation of an entry counts as its present one.
     pub fn observe<'a>(
         &mut self,
         holders: impl Iterator<Item = &'a Arc<str>> + Clone,
@@ -112,13 +116,13 @@
         now: Duration,
     ) {
         let mut newest: BTreeMap<&str, &str> = BTreeMap::new();
-        for (entry, run) in holders.clone().map(|holder| parts(holder)) {
-            let known = newest.entry(entry).or_insert(run);
-            *known = run.max(known);
+        for (entry, incarnation) in holders.clone().map(|holder| split_holder(holder)) {
+            let highest = newest.entry(entry).or_insert(incarnation);
+            *highest = incarnation.max(highest);
         }
         for holder in holders {
-            let (entry, run) = parts(holder);
-            if listed(entry) && newest.get(entry) == Some(&run) {
+            let (entry, incarnation) = split_holder(holder);
+            if listed(entry) && newest.get(entry) == Some(&incarnation) {
                 self.absent_since.remove(holder);
             } else {
                 self.absent_since.entry(Arc::clone(holder)).or_insert(now);
@@ -126,7 +130,7 @@
         }
     }
 
-    /// Returns whether a holder has been absent for longer than `grace` at `now`.
+    /// Returns whether a holder has been absent for longer than `grace` as of `now`.
     #[must_use]
     pub fn gone(&self, holder: &str, grace: Duration, now: Duration) -> bool {
         let since = self.absent_since.get(holder);
--- a/coordination/src/journal.rs
+++ b/coordination/src/journal.rs
@@ -1,4 +1,7 @@
-//! The journal of a generation: the tokens delivered so far, and what may be delivered next.
+//! The journal of a generation: the tokens delivered so far and the check of each further token.
+//!
+//! A generation may run in several attempts at different servers. The journal accepts each token
+//! once, in order and from the current attempt only, so that the caller receives one whole answer.
 //!
 //! ```
 //! use medlarfall_coordination::journal::{Journal, Verdict};
@@ -14,14 +17,14 @@
 
 use std::sync::Arc;
 
-/// Number of an attempt at a generation; it grows with each attempt.
+/// Number of an attempt at a generation; it increases with each attempt.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Attempt(pub u64);
 
-/// What is to be done with a token.
+/// What to do with a received token.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict {
-    /// The token is the next one and has been written to the journal: deliver it.
+    /// The token is the next one and has been added to the journal: deliver it.
     Deliver,
     /// The token was delivered before: drop it.
     Duplicate,
@@ -29,14 +32,14 @@
     Stale,
     /// Tokens are missing before this one: end the attempt and resume.
     Gap,
-    /// The answer was whole before this token came: drop it.
+    /// The answer was complete before this token: drop it.
     Ended,
 }
 
-/// What is to be done with the end of an attempt's stream.
+/// What to do at the end of an attempt's stream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Ending {
-    /// The answer is whole.
+    /// The answer is complete.
     Complete,
     /// Tokens are missing: end the attempt and resume.
     Incomplete,
@@ -49,46 +52,46 @@
 pub struct Journal {
     tokens: Vec<Arc<str>>,
     attempt: u64,
-    used: u64,
+    highest_number: u64,
     ended: bool,
 }
 
 impl Journal {
-    /// Returns the journal of a generation of which nothing was delivered.
+    /// Returns the journal of a generation without delivered tokens.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the journal of a generation whose `tokens` were delivered and whose last attempt was
-    /// `attempt`, which goes on as the current one.
+    /// Returns the journal of a generation whose `tokens` were delivered and whose last attempt,
+    /// `attempt`, stays the current one.
     #[must_use]
     pub fn restore(tokens: Vec<Arc<str>>, attempt: Attempt) -> Self {
         Self {
             tokens,
             attempt: attempt.0,
-            used: attempt.0,
+            highest_number: attempt.0,
             ended: false,
         }
     }
 
-    /// Begins an attempt, which makes every earlier one stale.
+    /// Starts an attempt, which makes every earlier one stale.
     pub fn begin_attempt(&mut self) -> Attempt {
         let attempt = self.prepared_attempt(0);
         self.adopt(attempt);
         attempt
     }
 
-    /// Returns the number for an attempt that is prepared while the current one goes on, after
+    /// Returns the number for an attempt that is prepared while the current one continues, after
     /// `others` that were prepared before it.
     #[must_use]
     pub fn prepared_attempt(&self, others: u64) -> Attempt {
-        Attempt(self.attempt.max(self.used) + 1 + others)
+        Attempt(self.attempt.max(self.highest_number) + 1 + others)
     }
 
-    /// Notes the highest number given to a prepared attempt, so that none gets it again.
+    /// Records the highest number of a prepared attempt, so that it is not assigned again.
     pub fn record_prepared(&mut self, attempt: Attempt) {
-        self.used = self.used.max(attempt.0);
+        self.highest_number = self.highest_number.max(attempt.0);
     }
 
     /// Makes a prepared attempt the current one, and every earlier one stale; an attempt older than
@@ -97,7 +100,7 @@
         self.attempt = self.attempt.max(attempt.0);
     }
 
-    /// Judges a token, and writes it down if it is to be delivered.
+    /// Checks a token, and adds it to the journal if it is to be delivered.
     pub fn accept(&mut self, attempt: Attempt, index: u64, token: Arc<str>) -> Verdict {
         let next = self.next_index();
         match index {
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Judges the end of an attempt that says that the whole answer has `length` tokens.
+    /// Checks the end of an attempt whose complete answer has `length` tokens.
     pub fn end(&mut self, attempt: Attempt, length: u64) -> Ending {
         match length {
             _ if attempt.0 != self.attempt => Ending::Stale,
@@ -124,7 +127,8 @@
         }
     }
 
-    /// Strikes the tokens from `length` on, which nobody was given; the current attempt becomes stale.
+    /// Removes the tokens from index `length` on, which were not sent to the caller; the current
+    /// attempt becomes stale.
     pub fn truncate(&mut self, length: u64) {
         self.tokens
             .truncate(usize::try_from(length).unwrap_or(usize::MAX));
--- a/coordination/src/memory.rs
+++ b/coordination/src/memory.rs
@@ -1,9 +1,11 @@
-//! Shares of backend servers' memory, so that several entries together never overrun one.
+//! Reservations in shares of backend servers' memory, by which several entries together never
+//! exceed the memory of a server.
 //!
-//! Each entry owns a share of every server's memory and reserves in it before it sends. What it does
-//! not use it lends to peers for a bounded time. A loan needs no agreement: the lender counts it as
-//! used until it is returned or has expired, whatever becomes of the answer or the borrower, and the
-//! borrower counts its time from before it asked, so that its end comes first.
+//! Each entry owns a share of every server's memory and reserves tokens in it before it sends a
+//! request. It lends unused tokens to peers for a bounded time. A loan needs no consensus: the
+//! lender counts it as used until it is returned or expires, even if its response is lost or the
+//! borrower fails. The borrower counts the duration from before its request, so that the loan ends
+//! earlier at the borrower than at the lender.
 //!
 //! ```
 //! use std::time::Duration;
@@ -27,18 +29,18 @@
 use slotmap::{SlotMap, new_key_type};
 
 new_key_type! {
-    /// Names a backend server.
+    /// Key of a backend server.
     pub struct ServerKey;
-    /// Names a reservation.
+    /// Key of a reservation.
     pub struct ReservationKey;
-    /// Names a loan to a peer.
+    /// Key of a loan to a peer.
     pub struct LoanKey;
 }
 
 /// Memory of one server that this entry may use.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 struct Account {
-    /// Tokens of this entry's share.
+    /// Size of this entry's share, in tokens.
     share: u64,
     /// Tokens reserved in the share.
     reserved: u64,
@@ -64,7 +66,7 @@
     until: Duration,
 }
 
-/// What one entry has reserved, lent and borrowed.
+/// The memory that one entry has reserved, lent and borrowed.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     accounts: SlotMap<ServerKey, Account>,
@@ -79,7 +81,7 @@
         Self::default()
     }
 
-    /// Adds a server of whose memory this entry may use `share` tokens.
+    /// Adds a server with a share of `share` tokens for this entry.
     pub fn add(&mut self, share: u64) -> ServerKey {
         self.accounts.insert(Account {
             share,
@@ -89,14 +91,14 @@
 
     /// Changes this entry's share of a server's memory, in tokens.
     ///
-    /// A share smaller than what is in use takes effect as reservations end.
+    /// If the new share is smaller than the tokens in use, it takes effect as reservations end.
     pub fn set_share(&mut self, server: ServerKey, share: u64) {
         if let Some(account) = self.accounts.get_mut(server) {
             account.share = share;
         }
     }
 
-    /// Removes a server; what ends later on it is ignored.
+    /// Removes a server; later ends of its reservations and loans are ignored.
     pub fn remove(&mut self, server: ServerKey) {
         self.accounts.remove(server);
     }
@@ -113,8 +115,8 @@
         self.usage(server).0
     }
 
-    /// Returns the tokens reserved on a server, as [`Self::reserved`], and the free ones, as
-    /// [`Self::free`].
+    /// Returns both the reserved tokens ([`Self::reserved`]) and the free tokens ([`Self::free`])
+    /// of a server.
     #[must_use]
     pub fn usage(&self, server: ServerKey) -> (u64, u64) {
         let account = self.accounts.get(server).copied().unwrap_or_default();
@@ -152,13 +154,14 @@
         }))
     }
 
-    /// Returns when a reservation must have ended, if its memory is borrowed.
+    /// Returns the time by which a reservation in borrowed memory must end, or nothing for one in
+    /// this entry's share.
     #[must_use]
     pub fn ends(&self, key: ReservationKey) -> Option<Duration> {
         self.reservations.get(key)?.borrowed_until
     }
 
-    /// Ends a reservation; one that has ended before is ignored.
+    /// Ends a reservation; does nothing if it has already ended.
     pub fn release(&mut self, key: ReservationKey) {
         let Some(held) = self.reservations.remove(key) else {
             return;
@@ -189,7 +192,7 @@
         }))
     }
 
-    /// Ends a loan that its borrower has returned; one that has ended before is ignored.
+    /// Ends a loan that the borrower has returned; does nothing if it has already ended.
     pub fn end_loan(&mut self, key: LoanKey) {
         let Some(loan) = self.loans.remove(key) else {
             return;
--- a/coordination/tests/fencing.rs
+++ b/coordination/tests/fencing.rs
@@ -1,4 +1,4 @@
-//! Properties of orders with fencing: two holders, pauses, lapsed leases and lost answers.
+//! Properties of fenced orders with two holders, pauses, expired leases and lost responses.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     attempts: 4,
 };
 
-/// The lock in the store: its holder, when its lease ends, and the store's revision.
+/// A model of the store: the lock's holder with the end of its lease, and the revision.
 #[derive(Default)]
 struct Store {
     revision: u64,
@@ -24,31 +24,31 @@
         self.held = self.held.filter(|(_, until)| *until > now);
     }
 
-    fn acquire(&mut self, who: usize, now: u64) -> Option<u64> {
+    fn acquire(&mut self, holder_index: usize, now: u64) -> Option<u64> {
         self.expire(now);
         if self.held.is_some() {
             return None;
         }
         self.revision += 1;
-        self.held = Some((who, now + LEASE));
+        self.held = Some((holder_index, now + LEASE));
         Some(self.revision)
     }
 
-    fn release(&mut self, who: usize) {
-        self.held = self.held.filter(|(holder, _)| *holder != who);
+    fn release(&mut self, holder_index: usize) {
+        self.held = self.held.filter(|(holder, _)| *holder != holder_index);
     }
 }
 
-/// An order on its way to the server.
-struct Flight {
-    who: usize,
+/// An order in flight to the server.
+struct InFlight {
+    holder_index: usize,
     run: u64,
     fencing: u64,
     arrives: u64,
     lost: bool,
 }
 
-/// A server, and the fencing numbers of the orders that had an effect, in their order.
+/// A model of a server, with the fencing numbers of the orders that took effect, in sequence.
 struct Server {
     enforces: bool,
     highest: u64,
@@ -57,26 +57,26 @@
 }
 
 impl Server {
-    fn take(&mut self, flight: &Flight) -> Answer {
-        if self.enforces && flight.fencing < self.highest {
+    fn receive(&mut self, order: &InFlight) -> Answer {
+        if self.enforces && order.fencing < self.highest {
             return Answer::Fenced;
         }
-        self.highest = self.highest.max(flight.fencing);
-        self.effects.push(flight.fencing);
-        self.state = flight.who;
+        self.highest = self.highest.max(order.fencing);
+        self.effects.push(order.fencing);
+        self.state = order.holder_index;
         Answer::Done
     }
 }
 
-/// Two holders that give contrary orders, again and again, to one server.
+/// Two holders that repeatedly send contradictory orders to one server.
 struct World {
     now: u64,
     store: Store,
     server: Server,
-    flights: Vec<Flight>,
+    in_flight: Vec<InFlight>,
     holders: [Holder; 2],
     paused_until: [u64; 2],
-    awaits: [Option<u64>; 2],
+    deadlines: [Option<u64>; 2],
     runs: [u64; 2],
     achieved: u64,
 }
@@ -92,83 +92,86 @@
                 effects: Vec::new(),
                 state: usize::MAX,
             },
-            flights: Vec::new(),
+            in_flight: Vec::new(),
             holders: [0, 1].map(|_| Holder::new(POLICY, enforces)),
             paused_until: [0; 2],
-            awaits: [None; 2],
+            deadlines: [None; 2],
             runs: [0; 2],
             achieved: 0,
         }
     }
 
-    /// Lets `by` milliseconds pass and delivers what arrives in them.
-    fn pass(&mut self, by: u64) {
+    /// Advances the time by `by` milliseconds and delivers the orders that arrive in it.
+    fn advance(&mut self, by: u64) {
         let end = self.now + by;
-        self.flights.sort_by_key(|flight| flight.arrives);
+        self.in_flight.sort_by_key(|order| order.arrives);
         while self
-            .flights
+            .in_flight
             .first()
-            .is_some_and(|flight| flight.arrives <= end)
+            .is_some_and(|order| order.arrives <= end)
         {
-            let flight = self.flights.remove(0);
-            self.now = flight.arrives;
-            let answer = self.server.take(&flight);
-            let awaited = self.runs[flight.who] == flight.run && self.awaits[flight.who].is_some();
-            if awaited && !flight.lost {
-                self.awaits[flight.who] = None;
-                self.holders[flight.who].record_answer(Duration::from_millis(self.now), answer);
+            let order = self.in_flight.remove(0);
+            self.now = order.arrives;
+            let answer = self.server.receive(&order);
+            let awaited = self.runs[order.holder_index] == order.run
+                && self.deadlines[order.holder_index].is_some();
+            if awaited && !order.lost {
+                self.deadlines[order.holder_index] = None;
+                self.holders[order.holder_index]
+                    .record_answer(Duration::from_millis(self.now), answer);
             }
         }
         self.now = end;
-        for who in 0..2 {
-            // No answer came within the timeout: the order counts as lost.
-            if self.awaits[who].is_some_and(|deadline| deadline <= self.now) {
-                self.awaits[who] = None;
-                self.holders[who].record_answer(Duration::from_millis(self.now), Answer::Lost);
+        for holder_index in 0..2 {
+            // Without a response within the timeout, the order counts as lost.
+            if self.deadlines[holder_index].is_some_and(|deadline| deadline <= self.now) {
+                self.deadlines[holder_index] = None;
+                self.holders[holder_index]
+                    .record_answer(Duration::from_millis(self.now), Answer::Lost);
             }
         }
     }
 
-    /// Lets one holder take its next step.
-    fn step(&mut self, who: usize, delay: u64, lost: bool) {
-        if self.paused_until[who] > self.now || self.awaits[who].is_some() {
+    /// Executes the next action of one holder.
+    fn step(&mut self, holder_index: usize, delay: u64, lost: bool) {
+        if self.paused_until[holder_index] > self.now || self.deadlines[holder_index].is_some() {
             return;
         }
         let now = Duration::from_millis(self.now);
-        match self.holders[who].next(now) {
+        match self.holders[holder_index].next(now) {
             Action::Wait { .. } => {}
             Action::Acquire => {
-                // A lock that is held still is not given up: its lease runs out.
-                if let Some(fencing) = self.store.acquire(who, self.now) {
+                // An existing lock is not released here: its lease expires.
+                if let Some(fencing) = self.store.acquire(holder_index, self.now) {
                     let until = Duration::from_millis(self.now + LEASE);
-                    self.holders[who].record_acquired(now, fencing, until);
+                    self.holders[holder_index].record_acquired(now, fencing, until);
                 }
             }
             Action::Read => {
-                let in_state = self.server.state == who;
-                self.holders[who].record_read((!lost).then_some(in_state));
+                let in_state = self.server.state == holder_index;
+                self.holders[holder_index].record_read((!lost).then_some(in_state));
             }
             Action::Order { fencing } => {
-                self.flights.push(Flight {
-                    who,
-                    run: self.runs[who],
+                self.in_flight.push(InFlight {
+                    holder_index,
+                    run: self.runs[holder_index],
                     fencing,
                     arrives: self.now + delay % (2 * TIMEOUT),
                     lost,
                 });
-                // A cut connection tells early that the answer is lost.
-                let patience = if lost { delay / 7 % TIMEOUT } else { TIMEOUT };
-                self.awaits[who] = Some(self.now + patience);
+                // A closed connection reports the lost response before the timeout.
+                let timeout = if lost { delay / 7 % TIMEOUT } else { TIMEOUT };
+                self.deadlines[holder_index] = Some(self.now + timeout);
             }
             Action::End(ending) => {
                 if ending.outcome == Outcome::Achieved {
                     self.achieved += 1;
                 }
                 if ending.release {
-                    self.store.release(who);
+                    self.store.release(holder_index);
                 }
-                self.runs[who] += 1;
-                self.holders[who] = Holder::new(POLICY, self.server.enforces);
+                self.runs[holder_index] += 1;
+                self.holders[holder_index] = Holder::new(POLICY, self.server.enforces);
             }
         }
     }
@@ -177,13 +180,13 @@
 fn run(enforces: bool, events: &[(u8, u16, u16, bool)]) -> World {
     let mut world = World::new(enforces);
     for (kind, time, delay, lost) in events {
-        let who = usize::from(kind % 2);
+        let holder_index = usize::from(kind % 2);
         match kind / 2 % 8 {
-            0 => world.paused_until[who] = world.now + u64::from(time % 2_000),
-            1 => world.pass(u64::from(time % 1_000)),
-            _ => world.step(who, u64::from(*delay), *lost),
+            0 => world.paused_until[holder_index] = world.now + u64::from(time % 2_000),
+            1 => world.advance(u64::from(time % 1_000)),
+            _ => world.step(holder_index, u64::from(*delay), *lost),
         }
-        world.pass(u64::from(time % 50));
+        world.advance(u64::from(time % 50));
     }
     world
 }
@@ -201,7 +204,7 @@
     }
 }
 
-/// The property above is not met by doing nothing: holders that alternate achieve their orders.
+/// Guards the property above against holders that never send an order.
 #[test]
 fn holders_that_take_turns_achieve_their_orders() {
     for enforces in [true, false] {
@@ -213,18 +216,19 @@
     }
 }
 
-/// A holder that ignores the rules for servers without fencing is caught by the same world.
+/// Checks that the model detects holders that omit the waiting and reading that a server without
+/// fencing requires.
 #[test]
-fn without_the_rules_an_old_order_undoes_a_newer_one() {
+fn fencing_assumed_of_a_server_without_it_lets_an_old_order_win() {
     let mut world = World::new(false);
-    // Both order as if the server enforced fencing.
+    // Both holders assume that the server enforces fencing.
     world.holders = [0, 1].map(|_| Holder::new(POLICY, true));
     world.step(0, 0, false);
     world.step(0, 2 * TIMEOUT - 1, false);
     world.store.release(0);
     world.step(1, 0, false);
     world.step(1, 0, false);
-    world.pass(2 * TIMEOUT);
+    world.advance(2 * TIMEOUT);
     assert_eq!(world.server.effects, [2, 1]);
 }
 
--- a/coordination/tests/grants.rs
+++ b/coordination/tests/grants.rs
@@ -1,4 +1,4 @@
-//! Entries that race for a server's memory through compare-and-swap never hold more than it has.
+//! Entries that compete for a server's memory by compare-and-swap never use more than its limit.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_shrinking_grant_is_taken_even_where_the_limit_has_become_smaller() {
+fn a_smaller_grant_is_accepted_even_above_a_lowered_limit() {
     let record = Record::default().with("a@1", 900, LIMIT).expect("it fits");
     assert_eq!(
         record
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn the_earlier_run_of_an_entry_is_gone_after_the_grace() {
+fn the_earlier_incarnation_of_an_entry_is_gone_after_the_grace_period() {
     let holders = [Arc::from("a@1"), Arc::from("a@2"), Arc::from("b@1")];
     let grace = Duration::from_secs(30);
     let at = Duration::from_secs;
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_holder_is_gone_only_after_the_grace() {
+fn a_holder_is_gone_only_after_the_grace_period() {
     let holders = [Arc::from("a@1"), Arc::from("b@1")];
     let grace = Duration::from_secs(30);
     let at = Duration::from_secs;
--- a/coordination/tests/journal.rs
+++ b/coordination/tests/journal.rs
@@ -1,22 +1,23 @@
-//! The journal against a naive twin that keeps every event and replays them all.
+//! The journal compared with a simple model that stores all tokens and attempts.
 
 use std::sync::Arc;
 
 use bolero::check;
 use medlarfall_coordination::journal::{Attempt, Ending, Journal, Verdict};
 
-/// An event that reaches the journal; numbers are taken modulo what makes them collide often.
+/// An event: its kind, attempt and index, each reduced to a small range so that collisions are
+/// frequent.
 type Event = (u8, u8, u8);
 
-/// Keeps every delivered token with its index and searches them all.
+/// A model of the journal that searches all delivered tokens.
 #[derive(Default)]
-struct Naive {
+struct Model {
     delivered: Vec<(u64, String)>,
     attempts: Vec<u64>,
-    whole: bool,
+    complete: bool,
 }
 
-impl Naive {
+impl Model {
     fn current(&self) -> u64 {
         self.attempts.iter().copied().max().unwrap_or(0)
     }
@@ -33,7 +34,7 @@
         if attempt != self.current() {
             return Verdict::Stale;
         }
-        if self.whole {
+        if self.complete {
             return Verdict::Ended;
         }
         if self.delivered.iter().any(|(held, _)| *held == index) {
@@ -53,50 +54,51 @@
         if length != self.next() {
             return Ending::Incomplete;
         }
-        self.whole = true;
+        self.complete = true;
         Ending::Complete
     }
 }
 
-/// Returns the token that the one true answer has at an index.
-fn truth(index: u64) -> String {
+/// Returns the token of the expected answer at an index.
+fn expected_token(index: u64) -> String {
     format!(" {index}")
 }
 
 #[test]
-fn any_order_of_events_is_judged_as_by_the_naive_twin() {
+fn verdicts_equal_those_of_the_model_in_any_order_of_events() {
     check!().with_type::<Vec<Event>>().for_each(|events| {
         let mut journal = Journal::new();
-        let mut naive = Naive::default();
+        let mut model = Model::default();
         for (kind, attempt, index) in events {
-            // Attempts lie around the current one, so that stale and current ones mix.
-            let attempt = naive.current().saturating_sub(u64::from(attempt % 3));
-            let index = (naive.next() + u64::from(index % 5)).saturating_sub(2);
+            // Attempts are at or just before the current one, so that stale and current ones
+            // alternate.
+            let attempt = model.current().saturating_sub(u64::from(attempt % 3));
+            let index = (model.next() + u64::from(index % 5)).saturating_sub(2);
             match kind % 8 {
                 0 => {
                     let begun = journal.begin_attempt();
-                    naive.attempts.push(naive.current() + 1);
-                    assert_eq!(begun, Attempt(naive.current()));
+                    model.attempts.push(model.current() + 1);
+                    assert_eq!(begun, Attempt(model.current()));
                 }
                 1 => assert_eq!(
                     journal.end(Attempt(attempt), index),
-                    naive.end(attempt, index)
+                    model.end(attempt, index)
                 ),
                 _ => {
-                    let token = truth(index);
+                    let token = expected_token(index);
                     let verdict = journal.accept(Attempt(attempt), index, Arc::from(token.clone()));
-                    assert_eq!(verdict, naive.accept(attempt, index, &token));
+                    assert_eq!(verdict, model.accept(attempt, index, &token));
                 }
             }
-            let expected: String = (0..naive.next()).map(truth).collect();
+            let expected: String = (0..model.next()).map(expected_token).collect();
             assert_eq!(journal.text(), expected);
-            assert_eq!(journal.next_index(), naive.next());
+            assert_eq!(journal.next_index(), model.next());
         }
     });
 }
 
 #[test]
-fn a_generation_lost_twice_is_whole_and_unmixed() {
+fn a_generation_lost_twice_is_delivered_once_and_in_order() {
     check!()
         .with_type::<(u8, u8, Vec<Event>)>()
         .for_each(|(first, second, strays)| {
@@ -107,34 +109,34 @@
             for end in [losses[0], losses[0].max(losses[1]), LENGTH] {
                 let attempt = journal.begin_attempt();
                 for index in journal.next_index()..end {
-                    // Frames of earlier attempts arrive at any moment.
+                    // Tokens of earlier attempts may arrive at any time.
                     if let Some((_, age, index)) = strays.next() {
                         let age = 1 + u64::from(age % 2);
                         let stale = Attempt(attempt.0.saturating_sub(age));
                         let verdict = journal.accept(stale, u64::from(*index), Arc::from(" stray"));
                         assert_eq!(verdict, Verdict::Stale);
                     }
-                    let token = Arc::from(truth(index));
+                    let token = Arc::from(expected_token(index));
                     assert_eq!(journal.accept(attempt, index, token), Verdict::Deliver);
                 }
-                let whole = journal.next_index() == LENGTH;
-                let expected = if whole {
+                let complete = journal.next_index() == LENGTH;
+                let expected = if complete {
                     Ending::Complete
                 } else {
                     Ending::Incomplete
                 };
                 assert_eq!(journal.end(attempt, LENGTH), expected);
             }
-            let expected: String = (0..LENGTH).map(truth).collect();
+            let expected: String = (0..LENGTH).map(expected_token).collect();
             assert_eq!(journal.text(), expected);
         });
 }
 
 #[test]
-fn a_restored_journal_goes_on_and_struck_tokens_come_again() {
-    let tokens = vec![Arc::from(truth(0)), Arc::from(truth(1))];
+fn a_restored_journal_continues_and_accepts_truncated_tokens_again() {
+    let tokens = vec![Arc::from(expected_token(0)), Arc::from(expected_token(1))];
     let mut journal = Journal::restore(tokens, Attempt(3));
-    let token: Arc<str> = Arc::from(truth(2));
+    let token: Arc<str> = Arc::from(expected_token(2));
     assert_eq!(
         journal.accept(Attempt(3), 2, Arc::clone(&token)),
         Verdict::Deliver
--- a/coordination/tests/memory.rs
+++ b/coordination/tests/memory.rs
@@ -1,4 +1,5 @@
-//! Several entries that lend each other memory never overrun a server, whatever becomes of answers.
+//! Several entries that lend each other memory never exceed a server's memory, even if responses
+//! are lost.
 
 use std::time::Duration;
 
@@ -59,7 +60,7 @@
         self.held.iter().map(|held| held.tokens).sum()
     }
 
-    /// Ends what rests on loans that have expired, as the entry's task does.
+    /// Ends reservations in borrowed memory and loans that have expired, as the entry's task does.
     fn end_expired(&mut self, now: Duration) {
         let ledger = &mut self.ledger;
         self.held.retain(|held| {
@@ -73,7 +74,7 @@
     }
 }
 
-/// Borrows from one entry for another; a lost answer leaves the loan with the lender alone.
+/// Borrows from one entry for another; if the response is lost, only the lender records the loan.
 fn borrow(
     entries: &mut [Entry],
     from: usize,
@@ -98,7 +99,7 @@
         .extend(key.map(|key| Held { key, tokens, loan }));
 }
 
-/// Ends a reservation and returns its loan, unless that message is lost.
+/// Ends a reservation and returns its loan, unless the message that returns it is lost.
 fn release(entries: &mut [Entry], entry: usize, which: usize, lost: bool) {
     let entry = &mut entries[entry];
     if entry.held.is_empty() {
@@ -159,14 +160,14 @@
 }
 
 #[test]
-fn entries_together_never_overrun_a_server() {
+fn entries_together_never_exceed_the_memory_of_a_server() {
     check!()
         .with_type::<Vec<Step>>()
         .for_each(|steps| run(steps));
 }
 
 #[test]
-fn a_loan_whose_answer_was_lost_comes_back_when_it_expires() {
+fn a_loan_whose_response_was_lost_ends_when_it_expires() {
     let mut ledger = Ledger::new();
     let server = ledger.add(100);
     let loan = ledger.lend(server, 60, Duration::ZERO, Duration::from_secs(5));
