--- a/coordination/src/fair_queue.rs
+++ b/coordination/src/fair_queue.rs
@@ -1,8 +1,9 @@
 //! A weighted fair queue over client accounts, with priorities within an account.
 //!
-//! Start-time fair queueing: each item is tagged with the virtual time at which its account would
-//! start it, and the lowest tag goes first. An account that sends most cannot delay another by more
-//! than one item of its own. Source: P. Goyal, H. Vin, H. Cheng, "Start-time Fair Queueing", 1996.
+//! Start-time fair queueing: each account has a tag, the virtual time at which its next item
+//! starts, and the account with the lowest tag is served first. An account with many items delays
+//! another by at most one item. Source: P. Goyal, H. Vin, H. Cheng, "Start-time Fair Queueing",
+//! 1996.
 //!
 //! ```
 //! use medlarfall_coordination::fair_queue::{FairQueue, Item};
@@ -12,56 +13,56 @@
 //!     queue.push(Item { account: "large".into(), weight: 1, priority: 0, cost: 10, value: number });
 //! }
 //! queue.push(Item { account: "small".into(), weight: 1, priority: 0, cost: 10, value: 9 });
-//! let order: Vec<i32> = std::iter::from_fn(|| queue.pop(|_| true)).map(|item| item.value).collect();
-//! assert_eq!(order, [0, 9, 1, 2]);
+//! let order: Vec<i32> = std::iter::from_fn(|| queue.pop(|_| true)).map(|item|
+//! item.value).collect(); assert_eq!(order, [0, 9, 1, 2]);
 //! ```
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Items of one account that are tried where the first does not fit.
-const LOOKAHEAD: usize = 16;
+/// Highest number of items of one account that are tried until one fits.
+const LOOKAHEAD_ITEMS: usize = 16;
 
-/// How often an item may be passed over by others of its account.
+/// Number of later items of the same account that may be taken before an item that does not fit.
 const PASSED_OVER_LIMIT: u32 = 256;
 
-/// Virtual time that one unit of cost takes at weight 1.
-const SCALE: u64 = 1 << 10;
+/// Virtual time of one unit of cost at weight 1.
+const VIRTUAL_TIME_PER_COST: u64 = 1 << 10;
 
-/// An item that waits.
+/// A queued item.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Item<T> {
-    /// Client account that the item belongs to.
+    /// Client account of the item.
     pub account: Arc<str>,
     /// Weight of the account; 0 counts as 1.
     pub weight: u64,
-    /// Priority within the account; higher goes first.
+    /// Priority within the account; the highest is served first.
     pub priority: i32,
-    /// Cost of the item, in any unit that is the same for all.
+    /// Cost of the item, in a unit that all items share.
     pub cost: u64,
-    /// What waits.
+    /// Content of the item.
     pub value: T,
 }
 
-/// Order of an account's items: higher priority first, then first come, first served.
+/// Sort key of an account's items: higher priority first, then order of arrival.
 type Rank = (Reverse<i32>, u64);
 
-/// An item and how often others of its account were taken before it.
+/// An item and the number of later items of its account that were taken before it.
 #[derive(Debug)]
 struct Queued<T> {
     item: Item<T>,
     passed_over: u32,
 }
 
-/// Items of one account.
+/// The queued items of one account and its tag.
 #[derive(Debug)]
 struct Account<T> {
     items: BTreeMap<Rank, Queued<T>>,
     tag: u64,
 }
 
-/// The queue.
+/// A weighted fair queue.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     accounts: HashMap<Arc<str>, Account<T>>,
@@ -72,9 +73,10 @@
 }
 
 impl<T> Account<T> {
-    /// Returns the rank of the first item that fits, within the bounds on passing over.
+    /// Returns the rank of the first item that fits, within [`LOOKAHEAD_ITEMS`] and
+    /// [`PASSED_OVER_LIMIT`].
     fn first_fit(&self, fits: &mut impl FnMut(&Item<T>) -> bool) -> Option<Rank> {
-        for (rank, queued) in self.items.iter().take(LOOKAHEAD) {
+        for (rank, queued) in self.items.iter().take(LOOKAHEAD_ITEMS) {
             if fits(&queued.item) {
                 return Some(*rank);
             }
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Returns the number of items that wait.
+    /// Returns the number of queued items.
     #[must_use]
     pub fn len(&self) -> usize {
         self.accounts
@@ -114,13 +116,13 @@
             .sum()
     }
 
-    /// Returns whether nothing waits.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.order.is_empty()
     }
 
-    /// Returns the items that wait, in no particular order.
+    /// Returns the queued items, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Item<T>> {
         self.accounts
             .values()
@@ -148,10 +150,11 @@
         self.accounts.insert(name, Account { items, tag });
     }
 
-    /// Takes the next item, in fair order, that `fits`.
+    /// Removes and returns the next item, in fair order, for which `fits` returns true.
     ///
-    /// Where an account's first item does not fit, a few behind it are tried, but none is passed
-    /// over for ever; an account of which nothing fits keeps its turn.
+    /// If the first item of an account does not fit, a bounded number of later ones is tried; an
+    /// item that has been passed over too often blocks the later items of its account. An account
+    /// without a fitting item keeps its position.
     pub fn pop(&mut self, mut fits: impl FnMut(&Item<T>) -> bool) -> Option<Item<T>> {
         let found = self.order.iter().find_map(|(_, name)| {
             let rank = self.accounts.get(name)?.first_fit(&mut fits)?;
@@ -161,7 +164,7 @@
         self.take(&name, rank)
     }
 
-    /// Removes the items that `keep` does not keep, and returns them.
+    /// Removes and returns the items for which `keep` returns false.
     pub fn remove(&mut self, mut keep: impl FnMut(&Item<T>) -> bool) -> Vec<Item<T>> {
         let mut removed = Vec::new();
         for account in self.accounts.values_mut() {
@@ -186,7 +189,7 @@
         removed
     }
 
-    /// Takes an item of an account and moves the account on by the item's cost.
+    /// Removes an item of an account and advances the account's tag by the item's cost.
     fn take(&mut self, name: &Arc<str>, rank: Rank) -> Option<Item<T>> {
         let account = self.accounts.get_mut(name)?;
         let item = account.items.remove(&rank)?.item;
@@ -195,7 +198,7 @@
         }
         self.order.remove(&(account.tag, Arc::clone(name)));
         self.virtual_time = self.virtual_time.max(account.tag);
-        account.tag += item.cost.saturating_mul(SCALE) / item.weight.max(1);
+        account.tag += item.cost.saturating_mul(VIRTUAL_TIME_PER_COST) / item.weight.max(1);
         self.order.insert((account.tag, Arc::clone(name)));
         if account.items.is_empty() {
             self.retire(name);
@@ -203,7 +206,8 @@
         Some(item)
     }
 
-    /// Forgets an account that has nothing waiting, but for what it has used ahead of the others.
+    /// Removes an account without queued items; its tag is kept while it is ahead of the virtual
+    /// time, so that an account gains nothing by leaving and returning.
     fn retire(&mut self, name: &Arc<str>) {
         let Some(account) = self.accounts.remove(name) else {
             return;
--- a/coordination/src/planned_stop.rs
+++ b/coordination/src/planned_stop.rs
@@ -1,20 +1,24 @@
-//! Planned stops: what a stop concerns, and when a generation is moved off a leaving server.
+//! Planned stops: the target of a stop, and the time at which a generation is moved off a server
+//! that will stop.
+//!
+//! A generation that is estimated to end before the stop stays. The others are moved at times
+//! spread between the acceptance of the stop and its date.
 //!
 //! ```
 //! use std::time::Duration;
 //! use medlarfall_coordination::planned_stop::{Decision, Policy, Stand};
 //!
 //! let policy = Policy { lead: Duration::from_secs(5), margin_percent: 50 };
-//! let stand = Stand {
+//! let snapshot = Stand {
 //!     accepted: Duration::ZERO,
 //!     date: Duration::from_secs(60),
 //!     share: 0.5,
 //!     remaining_tokens: 100,
 //!     token_interval: Some(Duration::from_millis(10)),
 //! };
-//! // One second of work and half of it as margin end well before the date.
-//! assert_eq!(policy.decide(&stand, Duration::ZERO), Decision::Stay);
-//! let long = Stand { remaining_tokens: 100_000, ..stand };
+//! // One second of work and a margin of half a second end well before the date.
+//! assert_eq!(policy.decide(&snapshot, Duration::ZERO), Decision::Stay);
+//! let long = Stand { remaining_tokens: 100_000, ..snapshot };
 //! let moment = Duration::from_millis(27_500);
 //! assert_eq!(policy.decide(&long, Duration::ZERO), Decision::MoveAt(moment));
 //! assert_eq!(policy.decide(&long, moment), Decision::MoveNow);
@@ -27,7 +31,7 @@
 
 use snafu::Snafu;
 
-/// What a planned stop concerns.
+/// Target of a planned stop.
 #[derive(Clone, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Target {
     /// One backend server, by name.
@@ -38,7 +42,7 @@
     Entry(Arc<str>),
 }
 
-/// A target that cannot be read.
+/// The error of a target that cannot be parsed.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 #[snafu(display(
     "`target = {value}` cannot be used: write `server/NAME`, `failure-domain/NAME` or `entry/NAME`"
@@ -101,59 +105,60 @@
     }
 }
 
-/// How early generations are moved.
+/// Parameters that decide when generations are moved.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Policy {
-    /// Time before the date at which the last generations are moved.
+    /// Time before the date of the stop at which the last generations are moved.
     pub lead: Duration,
     /// Share added to the estimate of a generation's remaining time, in percent.
     pub margin_percent: u32,
 }
 
-/// How a generation stands towards the stop of its server. Times are since one origin.
+/// A generation and the planned stop of its server, at one time. All times share one origin.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Snapshot {
-    /// When the stop came to be known.
+    /// Time at which this entry accepted the stop.
     pub accepted: Duration,
-    /// When the server stops.
+    /// Time at which the server stops.
     pub date: Duration,
-    /// Where in the time between, from 0 to 1, this generation is moved; spreads the moves.
+    /// Position, from 0 to 1, of this generation's move between acceptance and the latest time of a
+    /// move; it spreads the moves over time.
     pub share: f64,
-    /// Most tokens that are still to come.
+    /// Highest number of tokens that the generation may still produce.
     pub remaining_tokens: u64,
-    /// Measured time between two tokens; nothing before two tokens have come.
+    /// Measured time between two tokens; nothing before two tokens were received.
     pub token_interval: Option<Duration>,
 }
 
-/// What is to be done with a generation on a leaving server.
+/// What to do with a generation on a server that will stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It ends in time: look again at each token.
+    /// It is estimated to end in time: decide again at each token.
     Stay,
-    /// It does not end in time: move it at this time unless it is judged anew before.
+    /// It is not estimated to end in time: move it at this time, unless a later decision differs.
     MoveAt(Duration),
     /// Move it now.
     MoveNow,
 }
 
 impl Policy {
-    /// Returns the last time at which a generation is moved.
+    /// Returns the latest time at which a generation is moved.
     #[must_use]
     pub fn latest(&self, date: Duration) -> Duration {
         date.saturating_sub(self.lead)
     }
 
-    /// Decides what is to be done at `now`.
+    /// Decides what to do with a generation at `now`.
     #[must_use]
-    pub fn decide(&self, stand: &Snapshot, now: Duration) -> Decision {
-        let latest = self.latest(stand.date);
+    pub fn decide(&self, snapshot: &Snapshot, now: Duration) -> Decision {
+        let latest = self.latest(snapshot.date);
         if now >= latest {
             return Decision::MoveNow;
         }
-        let ends = stand
+        let ends = snapshot
             .token_interval
-            .map(|interval| self.ends(now, stand.remaining_tokens, interval));
-        let moment = moment(stand.accepted, latest, stand.share);
+            .map(|interval| self.estimated_end(now, snapshot.remaining_tokens, interval));
+        let moment = move_time(snapshot.accepted, latest, snapshot.share);
         match ends {
             Some(ends) if ends <= latest => Decision::Stay,
             None => Decision::MoveAt(latest),
@@ -162,8 +167,8 @@
         }
     }
 
-    /// Returns when a generation ends by its estimate, margin included.
-    fn ends(&self, now: Duration, tokens: u64, interval: Duration) -> Duration {
+    /// Returns the estimated end of a generation, including the margin.
+    fn estimated_end(&self, now: Duration, tokens: u64, interval: Duration) -> Duration {
         let tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
         let work = interval.saturating_mul(tokens);
         let margin = work.saturating_mul(self.margin_percent) / 100;
@@ -171,8 +176,8 @@
     }
 }
 
-/// Returns the time that lies at `share` between two times.
-fn moment(accepted: Duration, latest: Duration, share: f64) -> Duration {
+/// Returns the time at the fraction `share` between two times.
+fn move_time(accepted: Duration, latest: Duration, share: f64) -> Duration {
     let share = if share.is_finite() {
         share.clamp(0.0, 1.0)
     } else {
@@ -181,15 +186,15 @@
     accepted + latest.saturating_sub(accepted).mul_f64(share)
 }
 
-/// Returns the share of a request between 0 and 1, the same each time.
+/// Returns a hash of the request identifier between 0 and 1, for [`Snapshot::share`].
 #[must_use]
 pub fn share(request_id: &str) -> f64 {
     let hash = xxhash_rust::xxh3::xxh3_64(request_id.as_bytes());
     f64::from(u32::try_from(hash >> 32).unwrap_or(u32::MAX)) / f64::from(u32::MAX)
 }
 
-/// Judges whether anything still holds a stop. Reports of what a server runs lag, so that nothing
-/// must have held it for a while.
+/// Decides whether a stop has finished. Reports of the requests on a server are delayed, so that
+/// the count must stay zero for some time.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Completion {
     settle: Duration,
@@ -197,7 +202,7 @@
 }
 
 impl Completion {
-    /// Returns the judge of a stop that has finished once nothing held it for `settle`.
+    /// Returns the state of a stop that has finished once no request was observed for `settle`.
     #[must_use]
     pub fn new(settle: Duration) -> Self {
         Self {
@@ -206,8 +211,8 @@
         }
     }
 
-    /// Notes at `now` how many requests hold the stop, or that this could not be read; returns
-    /// whether it has finished.
+    /// Records at `now` how many requests delay the stop, or nothing if the count could not be
+    /// read; returns whether the stop has finished.
     pub fn observe(&mut self, now: Duration, held: Option<u64>) -> bool {
         if held != Some(0) {
             self.since = None;
--- a/coordination/src/resume_token.rs
+++ b/coordination/src/resume_token.rs
@@ -1,8 +1,8 @@
-//! Resume tokens: what a caller shows to any entry to go on with a generation whose entry was lost.
+//! Resume tokens, with which a caller resumes a generation at any entry after its entry was lost.
 //!
-//! A token is sealed with HMAC-SHA256 under a key that all entries share. It is not secret: its
-//! holder can read the names in it, but cannot change them. It is bound to the client account, to
-//! the request's body and to the tokens delivered so far.
+//! A token is authenticated with HMAC-SHA256 under a key that all entries share. It is not
+//! encrypted: its holder can read the names in it but cannot change them. It is bound to the client
+//! account, the body of the request and the tokens delivered so far.
 //!
 //! ```
 //! use medlarfall_coordination::resume_token::{Binding, Key, Token, digest};
@@ -33,18 +33,18 @@
 use snafu::Snafu;
 
 /// Version of the token's layout.
-const LAYOUT: u8 = 1;
+const LAYOUT_VERSION: u8 = 1;
 
-/// Bytes of a seal.
+/// Length of the truncated HMAC, in bytes.
 const SEAL_BYTES: usize = 16;
 
-/// Longest token, in characters.
-const LONGEST: usize = 4096;
+/// Maximum length of an encoded token, in characters.
+const MAX_TOKEN_CHARS: usize = 4096;
 
-/// A hash, cut to 16 bytes.
+/// A SHA-256 hash truncated to 16 bytes.
 pub type Digest = [u8; 16];
 
-/// Returns the hash of parts; where each part ends counts.
+/// Returns the hash of a list of parts, including the length of each.
 #[must_use]
 pub fn digest<const N: usize>(parts: [&[u8]; N]) -> Digest {
     let mut hasher = Sha256::new();
@@ -52,16 +52,16 @@
         hasher.update((part.len() as u64).to_le_bytes());
         hasher.update(part);
     }
-    cut(&hasher.finalize())
+    truncate_hash(&hasher.finalize())
 }
 
-/// Returns the hash of the tokens delivered so far, from the hash before the last one.
+/// Extends the hash `before` of the earlier tokens by the next token.
 #[must_use]
 pub fn chain(before: Digest, token: &str) -> Digest {
     let mut hasher = Sha256::new();
     hasher.update(before);
     hasher.update(token.as_bytes());
-    cut(&hasher.finalize())
+    truncate_hash(&hasher.finalize())
 }
 
 /// Returns the hash of a list of tokens.
@@ -69,23 +69,23 @@
     tokens.into_iter().fold(Digest::default(), chain)
 }
 
-/// To whom and to which request a token belongs.
+/// The client account and request to which a token belongs.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Binding {
     /// Hash of the client account.
     pub account: Digest,
-    /// Hash of what the request asks for.
+    /// Hash of the request's body.
     pub body: Digest,
 }
 
-/// What a resume token says.
+/// The content of a resume token.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Token {
     /// Identifier of the request.
     pub request_id: Arc<str>,
-    /// Service that was asked.
+    /// Service that the request addresses.
     pub service: Arc<str>,
-    /// Version that answers.
+    /// Version of the service that generates the answer.
     pub version: Arc<str>,
     /// Backend server that generated the token.
     pub server: Arc<str>,
@@ -93,9 +93,9 @@
     pub attempt: u64,
     /// Index of the last token delivered.
     pub index: u64,
-    /// When the token was sealed, in seconds since 1970.
+    /// Time at which the token was issued, in seconds since the Unix epoch.
     pub issued: u64,
-    /// To whom and to which request the token belongs.
+    /// Client account and request of the token.
     pub binding: Binding,
     /// Hash of the tokens delivered so far.
     pub delivered: Digest,
@@ -104,7 +104,7 @@
 /// Why a token was refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// It was changed, or sealed with another key.
+    /// It was modified, or sealed with another key.
     #[snafu(display(
         "this is no resume token of this system: send the last `id:` as it was received"
     ))]
@@ -119,14 +119,14 @@
         "the resume token belongs to another request: send the same body as the first time"
     ))]
     Body,
-    /// It is too old.
+    /// It is older than its lifetime.
     #[snafu(display(
         "the resume token has expired: send the request anew without `last-event-id`"
     ))]
     Expired,
 }
 
-/// The key that seals tokens.
+/// The key that authenticates tokens.
 #[derive(Clone)]
 pub struct Key {
     mac: Hmac<Sha256>,
@@ -139,7 +139,7 @@
 }
 
 impl Key {
-    /// Returns the key made of a secret.
+    /// Returns the key for a secret.
     ///
     /// # Panics
     ///
@@ -150,7 +150,8 @@
         Self { mac }
     }
 
-    /// Returns a token as text, made of characters that fit into a header and an event's `id:`.
+    /// Encodes and authenticates a token, as text that is valid in a header and in an event's
+    /// `id:`.
     #[must_use]
     pub fn seal(&self, token: &Token) -> String {
         let mut bytes = token.encode();
@@ -159,11 +160,12 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// Returns what a token says; `now` is in seconds since 1970 and `lifetime` in seconds.
+    /// Verifies and decodes a token; `now` is in seconds since the Unix epoch and `lifetime` in
+    /// seconds.
     ///
     /// # Errors
     ///
-    /// Returns why the token is refused.
+    /// Returns the reason for which the token is refused.
     pub fn open(
         &self,
         text: &str,
@@ -171,7 +173,7 @@
         now: u64,
         lifetime: u64,
     ) -> Result<Token, Error> {
-        if text.len() > LONGEST {
+        if text.len() > MAX_TOKEN_CHARS {
             return Err(Error::Forged);
         }
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| Error::Forged)?;
@@ -190,9 +192,9 @@
 }
 
 impl Token {
-    /// Returns the token as bytes, without its seal.
+    /// Encodes the token, without its HMAC.
     fn encode(&self) -> Vec<u8> {
-        let mut bytes = vec![LAYOUT];
+        let mut bytes = vec![LAYOUT_VERSION];
         for name in [&self.request_id, &self.service, &self.version, &self.server] {
             let length = u16::try_from(name.len()).unwrap_or(u16::MAX);
             bytes.extend_from_slice(&length.to_le_bytes());
@@ -207,14 +209,14 @@
         bytes
     }
 
-    /// Reads a token from bytes.
+    /// Decodes a token, or returns nothing if the layout does not match.
     fn decode(bytes: &[u8]) -> Option<Self> {
         let (layout, mut rest) = bytes.split_first()?;
-        let names = [(); 4].map(|()| name(&mut rest));
+        let names = [(); 4].map(|()| take_name(&mut rest));
         let [request_id, service, version, server] = names;
-        let numbers = [(); 3].map(|()| part(&mut rest).map(u64::from_le_bytes));
+        let numbers = [(); 3].map(|()| take_array(&mut rest).map(u64::from_le_bytes));
         let [attempt, index, issued] = numbers;
-        let digests = [(); 3].map(|()| part::<16>(&mut rest));
+        let digests = [(); 3].map(|()| take_array::<16>(&mut rest));
         let [account, body, delivered] = digests;
         let token = Self {
             request_id: request_id?,
@@ -230,27 +232,27 @@
             },
             delivered: delivered?,
         };
-        (*layout == LAYOUT && rest.is_empty()).then_some(token)
+        (*layout == LAYOUT_VERSION && rest.is_empty()).then_some(token)
     }
 }
 
-/// Takes a fixed number of bytes.
-fn part<const N: usize>(rest: &mut &[u8]) -> Option<[u8; N]> {
+/// Removes a fixed number of bytes from the front of `rest`.
+fn take_array<const N: usize>(rest: &mut &[u8]) -> Option<[u8; N]> {
     let (part, after) = rest.split_first_chunk()?;
     *rest = after;
     Some(*part)
 }
 
-/// Takes a name.
-fn name(rest: &mut &[u8]) -> Option<Arc<str>> {
-    let length = usize::from(u16::from_le_bytes(part(rest)?));
+/// Removes a name, preceded by its length, from the front of `rest`.
+fn take_name(rest: &mut &[u8]) -> Option<Arc<str>> {
+    let length = usize::from(u16::from_le_bytes(take_array(rest)?));
     let (name, after) = rest.split_at_checked(length)?;
     *rest = after;
     std::str::from_utf8(name).ok().map(Arc::from)
 }
 
-/// Cuts a hash to 16 bytes.
-fn cut(hash: &[u8]) -> Digest {
+/// Truncates a hash to 16 bytes.
+fn truncate_hash(hash: &[u8]) -> Digest {
     let mut digest = Digest::default();
     digest.copy_from_slice(&hash[..16]);
     digest
--- a/coordination/src/revision.rs
+++ b/coordination/src/revision.rs
@@ -1,8 +1,8 @@
-//! The highest revision seen of each key, and how two holders of such ledgers become equal.
+//! A ledger of the highest revision of each key, and the reconciliation of two ledgers.
 //!
-//! A ledger takes a record only if its revision is above the highest seen of its key, so that
-//! records may come late, twice, in any order and from a source that is out of date. Two ledgers
-//! compare a hash first and exchange only what differs: see [`Ledger::answer`].
+//! A ledger accepts a record only if its revision is above the highest that it has seen of the key,
+//! so that records may arrive late, repeatedly, in any order and from an outdated source. Two
+//! ledgers compare hashes first and exchange only the records that differ: see [`Ledger::respond`].
 //!
 //! ```
 //! use medlarfall_coordination::revision::{Ledger, Record, Verdict};
@@ -21,15 +21,15 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Number of parts that two ledgers compare.
+/// Number of buckets of keys whose hashes two ledgers compare.
 pub const BUCKETS: usize = 32;
 
-/// A revision of a value.
+/// A value at one revision of its key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record<R, T> {
     /// The key.
     pub key: Arc<str>,
-    /// Revision of the value; it only grows.
+    /// Revision of the value; it increases with each change of the key.
     pub revision: R,
     /// The value.
     pub value: T,
@@ -47,44 +47,44 @@
     }
 }
 
-/// What became of a record that was offered.
+/// The result of offering a record.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Verdict<R> {
-    /// It is the newest and is held now.
+    /// It is newer than the stored record and replaced it.
     Newer,
-    /// It was held already.
+    /// The ledger already holds the same record.
     Same,
-    /// A higher revision is held: it was refused.
+    /// The ledger holds a higher revision: the record was refused.
     Older {
         /// Highest revision seen.
         highest: R,
     },
-    /// Another value of the same revision is held: it was refused.
+    /// The ledger holds another value of the same revision: the record was refused.
     Fork,
 }
 
-/// A step of the exchange between two ledgers.
+/// A message of the exchange between two ledgers.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Message<R, T> {
-    /// Hash over the whole ledger.
+    /// Hash of the whole ledger.
     Root(u64),
     /// Hash of each bucket.
     Buckets(Vec<u32>),
-    /// Revisions held in the buckets that differ.
+    /// Revisions of the sender's records in the buckets that differ.
     Revisions {
         /// Indices of the buckets.
         buckets: Vec<usize>,
-        /// Each key with its revision.
+        /// Keys with their revisions.
         held: Vec<(Arc<str>, R)>,
     },
-    /// Records that the other side lacks, and keys that this side lacks.
+    /// Records that the receiver lacks, and keys whose records the sender lacks.
     Difference {
-        /// Records that the other side lacks.
+        /// Records that the receiver lacks.
         records: Vec<Record<R, T>>,
-        /// Keys whose records this side lacks.
+        /// Keys whose records the sender lacks.
         wanted: Vec<Arc<str>>,
     },
-    /// Records, to be taken where they are newer.
+    /// Records for the receiver to accept if they are newer.
     Records(Vec<Record<R, T>>),
     /// The exchange has ended.
     Done,
@@ -111,7 +111,7 @@
     R: Copy + Hash + Ord,
     T: Clone + PartialEq,
 {
-    /// Returns a ledger that has seen nothing.
+    /// Returns an empty ledger.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -128,7 +128,7 @@
         self.held.values()
     }
 
-    /// Judges a record, and holds it if it is newer.
+    /// Compares a record with the stored one of its key, and stores it if it is newer.
     pub fn offer(&mut self, record: Record<R, T>) -> Verdict<R> {
         match self.held.get(&record.key) {
             Some(held) if held.revision > record.revision => Verdict::Older {
@@ -145,7 +145,8 @@
         }
     }
 
-    /// Forgets a key, for values that end and whose return does no harm.
+    /// Removes a key with its highest revision. Only for values that end and for which accepting an
+    /// old record again is harmless.
     pub fn forget(&mut self, key: &str) {
         if let Some(record) = self.held.remove(key) {
             self.toggle(&record);
@@ -158,9 +159,9 @@
         Message::Root(self.root())
     }
 
-    /// Takes a message of an exchange and returns the answer to it and the records that were new.
+    /// Processes a message of an exchange and returns the response and the records that were newer.
     ///
-    /// Both sides call this in turn until the answer is [`Message::Done`].
+    /// Both ends call this in turn until the response is [`Message::Done`].
     pub fn respond(&mut self, message: Message<R, T>) -> (Message<R, T>, Vec<Record<R, T>>) {
         match message {
             Message::Root(root) if root == self.root() => (Message::Done, Vec::new()),
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Offers records and returns those that were newer.
+    /// Offers each record and returns those that were newer.
     pub fn merge(&mut self, records: Vec<Record<R, T>>) -> Vec<Record<R, T>> {
         records
             .into_iter()
@@ -193,26 +194,27 @@
             .collect()
     }
 
-    /// Returns the revisions in the buckets whose hash differs from the other side's.
+    /// Returns the revisions in the buckets whose hash differs from the peer's.
     fn revisions(&self, theirs: &[u32]) -> Message<R, T> {
         let buckets: Vec<usize> = (0..BUCKETS)
             .filter(|index| theirs.get(*index) != Some(&self.buckets[*index]))
             .collect();
         let held = self
-            .within(&buckets)
+            .in_buckets(&buckets)
             .map(|record| (Arc::clone(&record.key), record.revision))
             .collect();
         Message::Revisions { buckets, held }
     }
 
-    /// Returns what each side lacks of some buckets.
+    /// Returns the records that the peer lacks and the keys that this ledger lacks, in some
+    /// buckets.
     fn difference(&self, buckets: &[usize], theirs: &[(Arc<str>, R)]) -> Message<R, T> {
         let theirs: BTreeMap<&str, R> = theirs
             .iter()
             .map(|(key, revision)| (key.as_ref(), *revision))
             .collect();
         let records = self
-            .within(buckets)
+            .in_buckets(buckets)
             .filter(|record| {
                 theirs
                     .get(record.key.as_ref())
@@ -229,12 +231,12 @@
     }
 
     /// Returns the records in some buckets.
-    fn within(&self, buckets: &[usize]) -> impl Iterator<Item = &Record<R, T>> {
+    fn in_buckets(&self, buckets: &[usize]) -> impl Iterator<Item = &Record<R, T>> {
         self.iter()
             .filter(|record| buckets.contains(&bucket(&record.key)))
     }
 
-    /// Holds a record in place of an older one.
+    /// Stores a record in place of an older one and updates the bucket's hash.
     fn insert(&mut self, record: Record<R, T>) {
         self.toggle(&record);
         if let Some(older) = self.held.insert(Arc::clone(&record.key), record) {
@@ -242,12 +244,12 @@
         }
     }
 
-    /// Adds a record to its bucket's hash, or takes it out.
+    /// Adds a record to its bucket's hash or removes it: XOR makes both the same operation.
     fn toggle(&mut self, record: &Record<R, T>) {
-        self.buckets[bucket(&record.key)] ^= narrow(hash(&(&record.key, record.revision)));
+        self.buckets[bucket(&record.key)] ^= upper_half(hash(&(&record.key, record.revision)));
     }
 
-    /// Returns the hash over the whole ledger.
+    /// Returns the hash of the whole ledger.
     fn root(&self) -> u64 {
         hash(&self.buckets)
     }
@@ -255,17 +257,17 @@
 
 /// Returns the bucket of a key.
 fn bucket(key: &str) -> usize {
-    narrow(hash(&key)) as usize % BUCKETS
+    upper_half(hash(&key)) as usize % BUCKETS
 }
 
-/// Returns the hash of a value, the same on every entry.
+/// Returns the hash of a value, which is the same on every entry.
 fn hash(value: &impl Hash) -> u64 {
     let mut hasher = Xxh3::new();
     value.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Returns the upper half of a hash.
-fn narrow(hash: u64) -> u32 {
+/// Returns the upper 32 bits of a hash.
+fn upper_half(hash: u64) -> u32 {
     u32::try_from(hash >> 32).unwrap_or_default()
 }
--- a/coordination/tests/fair_queue.rs
+++ b/coordination/tests/fair_queue.rs
@@ -1,4 +1,4 @@
-//! The fair queue against a naive twin, and what it promises to small accounts.
+//! The fair queue compared with a simple model, and its fairness to small accounts.
 
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn nothing_is_lost_or_given_twice_and_accounts_keep_their_order() {
+fn items_are_returned_once_and_in_order_within_an_account() {
     check!()
         .with_type::<Vec<(u8, u8, bool)>>()
         .for_each(|steps| {
@@ -40,7 +40,7 @@
                 let first = waiting
                     .iter()
                     .position(|(account, _)| **account == *popped.account);
-                let (_, number) = waiting.remove(first.expect("the account has something waiting"));
+                let (_, number) = waiting.remove(first.expect("the account has a queued item"));
                 assert_eq!(number, popped.value);
             }
             assert_eq!(queue.len(), waiting.len());
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn leaving_and_coming_back_gives_no_advantage() {
+fn leaving_and_returning_gives_no_advantage() {
     let mut queue = FairQueue::new();
     let mut flapping = 0;
     for round in 0..100 {
@@ -87,7 +87,7 @@
     }
     assert!(
         flapping <= 51,
-        "{flapping} of 100 for the account that comes and goes"
+        "{flapping} of 100 for the account that leaves and returns"
     );
 }
 
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_item_that_does_not_fit_holds_up_its_account_only_after_many_were_taken_before_it() {
+fn an_item_that_does_not_fit_blocks_its_account_only_at_the_passed_over_limit() {
     let mut queue = FairQueue::new();
     queue.push(item("one", 1, 100, 0));
     for number in 1..=1_000 {
--- a/coordination/tests/planned_stop.rs
+++ b/coordination/tests/planned_stop.rs
@@ -1,4 +1,5 @@
-//! Properties of planned stops.
+//! Properties of planned stops: the times of moves, the end of a stop, targets and prepared
+//! attempts.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
     margin_percent: 50,
 };
 
-fn stand(accepted: u16, notice: u16, share: u8, tokens: u16, interval: u8) -> Snapshot {
+fn snapshot(accepted: u16, notice: u16, share: u8, tokens: u16, interval: u8) -> Snapshot {
     Snapshot {
         accepted: Duration::from_millis(accepted.into()),
         date: Duration::from_millis(u64::from(accepted) + u64::from(notice)),
@@ -24,16 +25,16 @@
 }
 
 #[test]
-fn a_generation_leaves_at_the_latest_its_lead_before_the_date_and_only_if_it_must() {
+fn a_generation_moves_by_the_latest_time_and_only_if_it_would_not_end_in_time() {
     check!()
         .with_type::<((u16, u16, u8, u16, u8), u32)>()
         .for_each(|((accepted, notice, share, tokens, interval), now)| {
-            let stand = stand(*accepted, *notice, *share, *tokens, *interval);
-            let now = stand.accepted + Duration::from_millis((*now % 100_000).into());
-            let latest = POLICY.latest(stand.date);
+            let snapshot = snapshot(*accepted, *notice, *share, *tokens, *interval);
+            let now = snapshot.accepted + Duration::from_millis((*now % 100_000).into());
+            let latest = POLICY.latest(snapshot.date);
             let work = Duration::from_millis(u64::from(*tokens) * u64::from(*interval) * 3 / 2);
             let in_time = now + work <= latest;
-            match POLICY.decide(&stand, now) {
+            match POLICY.decide(&snapshot, now) {
                 Decision::Stay => assert!(in_time && now < latest),
                 Decision::MoveAt(moment) => assert!(now < moment && moment <= latest && !in_time),
                 Decision::MoveNow => assert!(now >= latest || !in_time),
@@ -42,29 +43,29 @@
 }
 
 #[test]
-fn a_generation_moves_when_its_moment_has_come() {
+fn a_generation_moves_at_the_time_that_was_decided() {
     check!()
         .with_type::<(u16, u16, u8)>()
         .for_each(|(accepted, notice, share)| {
-            let stand = stand(*accepted, *notice, *share, u16::MAX, u8::MAX);
-            if let Decision::MoveAt(moment) = POLICY.decide(&stand, stand.accepted) {
-                assert_eq!(POLICY.decide(&stand, moment), Decision::MoveNow);
+            let snapshot = snapshot(*accepted, *notice, *share, u16::MAX, u8::MAX);
+            if let Decision::MoveAt(moment) = POLICY.decide(&snapshot, snapshot.accepted) {
+                assert_eq!(POLICY.decide(&snapshot, moment), Decision::MoveNow);
             }
         });
 }
 
 #[test]
-fn a_generation_of_unknown_pace_waits_for_the_last_moment() {
-    let stand = Snapshot {
+fn a_generation_of_unknown_speed_moves_at_the_latest_time() {
+    let snapshot = Snapshot {
         token_interval: None,
-        ..stand(0, 60_000, 0, 10, 0)
+        ..snapshot(0, 60_000, 0, 10, 0)
     };
     let latest = Duration::from_secs(55);
     assert_eq!(
-        POLICY.decide(&stand, Duration::ZERO),
+        POLICY.decide(&snapshot, Duration::ZERO),
         Decision::MoveAt(latest)
     );
-    assert_eq!(POLICY.decide(&stand, latest), Decision::MoveNow);
+    assert_eq!(POLICY.decide(&snapshot, latest), Decision::MoveNow);
 }
 
 #[test]
@@ -78,15 +79,15 @@
 }
 
 #[test]
-fn a_stop_finishes_only_after_an_unbroken_quiet() {
+fn a_stop_finishes_only_after_an_uninterrupted_idle_period() {
     const SETTLE: u64 = 2_000;
     check!()
         .with_type::<Vec<(u16, Option<u8>)>>()
-        .for_each(|looks| {
-            let mut quiet = Completion::new(Duration::from_millis(SETTLE));
+        .for_each(|observations| {
+            let mut completion = Completion::new(Duration::from_millis(SETTLE));
             let mut now = 0;
             let mut idle_since = None;
-            for (pause, held) in looks {
+            for (pause, held) in observations {
                 now += u64::from(*pause);
                 let held = held.map(|held| u64::from(held % 2));
                 idle_since = match held {
@@ -94,14 +95,14 @@
                     _ => None,
                 };
                 let expected = idle_since.is_some_and(|since| now - since >= SETTLE);
-                let finished = quiet.observe(Duration::from_millis(now), held);
+                let finished = completion.observe(Duration::from_millis(now), held);
                 assert_eq!(finished, expected);
             }
         });
 }
 
 #[test]
-fn targets_are_written_as_they_are_read() {
+fn targets_are_formatted_as_they_are_parsed() {
     for text in ["server/engine-0", "failure-domain/domain.1", "entry/e_9"] {
         let target: Target = text.parse().expect("a target");
         assert_eq!(target.to_string(), text);
@@ -129,8 +130,8 @@
     assert!(!server.covers_entry("engine-0", "b"));
 }
 
-/// Whatever the order in which attempts are prepared and adopted, tokens are delivered once and in
-/// order, and only from the newest adopted attempt.
+/// In any order in which attempts are prepared and adopted, tokens are delivered once, in order and
+/// only from the newest adopted attempt.
 #[test]
 fn prepared_attempts_never_disturb_the_order_of_tokens() {
     check!()
@@ -144,7 +145,7 @@
                 match kind % 4 {
                     0 => {
                         let prepared = journal.prepared_attempt(u64::from(*pick));
-                        assert!(!attempts.contains(&prepared), "a number was given twice");
+                        assert!(!attempts.contains(&prepared), "a number was assigned twice");
                         journal.record_prepared(prepared);
                         attempts.push(prepared);
                     }
--- a/coordination/tests/resume_token.rs
+++ b/coordination/tests/resume_token.rs
@@ -1,4 +1,4 @@
-//! Resume tokens: what is opened, and what is refused and why.
+//! Resume tokens: which are accepted, and which are refused with which error.
 
 use bolero::check;
 use medlarfall_coordination::resume_token::{Binding, Error, Key, Token, chain_all, digest};
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn every_changed_character_is_noticed() {
+fn every_changed_character_is_detected() {
     let key = Key::new(b"key");
     let text = key.seal(&token());
     for position in 0..text.len() {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn where_tokens_end_counts() {
+fn digests_depend_on_token_boundaries() {
     assert_ne!(chain_all([" a b"]), chain_all([" a", " b"]));
     assert_ne!(digest([b"ab", b"c"]), digest([b"a", b"bc"]));
 }
--- a/coordination/tests/revision.rs
+++ b/coordination/tests/revision.rs
@@ -1,4 +1,4 @@
-//! Properties of the ledger of highest revisions.
+//! Properties of the ledger of highest revisions and of the exchange between two ledgers.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 type Numbers = Ledger<u64, u64>;
 type Offers = Vec<(u8, u8)>;
 
-/// Every revision of a key has one value, as a compare-and-swap makes it.
+/// Returns a record whose value follows from key and revision, as in a store with compare-and-swap.
 fn record(key: u8, revision: u8) -> Record<u64, u64> {
     let key = key % 8;
     Record::new(
@@ -37,25 +37,25 @@
         let reply = right.respond(message).0;
         message = left.respond(reply).0;
         steps += 1;
-        assert!(steps <= 3, "the exchange does not end");
+        assert!(steps <= 3, "the exchange took more than 3 steps");
     }
     steps
 }
 
 #[test]
-fn the_highest_revision_is_held_whatever_the_order() {
+fn the_highest_revision_is_stored_in_any_order_of_offers() {
     check!().with_type::<Offers>().for_each(|records: &Offers| {
         let mut ledger = Numbers::new();
-        let mut twin: BTreeMap<String, u64> = BTreeMap::new();
+        let mut model: BTreeMap<String, u64> = BTreeMap::new();
         for (key, revision) in records {
             let record = record(*key, *revision);
-            let highest = twin.get(record.key.as_ref()).copied();
+            let highest = model.get(record.key.as_ref()).copied();
             let expected = match highest {
                 Some(highest) if highest > record.revision => Verdict::Older { highest },
                 Some(highest) if highest == record.revision => Verdict::Same,
                 _ => Verdict::Newer,
             };
-            twin.insert(
+            model.insert(
                 record.key.to_string(),
                 highest.unwrap_or_default().max(record.revision),
             );
@@ -65,7 +65,7 @@
             .iter()
             .map(|record| (record.key.to_string(), record.revision))
             .collect();
-        assert_eq!(held, twin);
+        assert_eq!(held, model);
     });
 }
 
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_forgotten_key_leaves_no_trace() {
+fn a_forgotten_key_does_not_change_the_hash() {
     let (mut ledger, mut empty) = (Numbers::new(), Numbers::new());
     ledger.offer(Record::new("briefs", 3, 1));
     ledger.forget("briefs");
