--- a/coordination/src/journal.rs
+++ b/coordination/src/journal.rs
@@ -28,7 +28,7 @@
     Deliver,
     /// The token was delivered before: drop it.
     Duplicate,
-    /// The token comes from an attempt that is no longer current: drop it.
+    /// The token belongs to an attempt that is no longer current: drop it.
     Stale,
     /// Tokens are missing before this one: end the attempt and resume.
     Gap,
@@ -43,7 +43,7 @@
     Complete,
     /// Tokens are missing: end the attempt and resume.
     Incomplete,
-    /// The end comes from an attempt that is no longer current: ignore it.
+    /// The end belongs to an attempt that is no longer current: ignore it.
     Stale,
 }
 
--- a/coordination/src/membership/table.rs
+++ b/coordination/src/membership/table.rs
@@ -109,7 +109,7 @@
     pub(super) fn expire(&mut self, now: Duration) -> Vec<Update> {
         let Config {
             suspicion,
-            dead_retention: forget,
+            dead_retention,
             ..
         } = self.config;
         let mut dead = Vec::new();
@@ -122,7 +122,7 @@
             }
         }
         self.known
-            .retain(|_, known| known.is_up() || now < known.since + forget);
+            .retain(|_, known| known.is_up() || now < known.since + dead_retention);
         dead.retain(|update| update.member.failure_domain == self.domain);
         dead
     }
--- a/coordination/tests/claim.rs
+++ b/coordination/tests/claim.rs
@@ -242,7 +242,7 @@
             0 | 1 => self.begin(which % ENTRIES),
             2..=5 if position < self.in_flight.len() => self.apply(position, 0, which / 16 == 0),
             6 if position < self.in_flight.len() => {
-                self.apply(position, which / 8, which / 16 == 0)
+                self.apply(position, which / 8, which / 16 == 0);
             }
             7..=10 if position < self.in_flight.len() => self.deliver(position, false),
             11 if position < self.in_flight.len() => self.deliver(position, true),
