--- a/serving/src/modules/spread.rs
+++ b/serving/src/modules/spread.rs
@@ -128,14 +128,14 @@
     /// Returns the first message of an exchange with a peer.
     #[must_use]
     pub fn hello(&self) -> Message<R, T> {
-        self.lock().hello()
+        self.lock().start_exchange()
     }
 
     /// Answers a message of an exchange with a peer.
     #[must_use]
     pub fn answer(&self, message: Message<R, T>) -> Message<R, T> {
         let mut ledger = self.lock();
-        let (answer, newer) = ledger.answer(message);
+        let (answer, newer) = ledger.respond(message);
         if !newer.is_empty() {
             self.publish(newer);
         }
