--- a/coordination/src/spread.rs
+++ b/coordination/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Which entries read the platform for the others.
 //!
 //! ```
-//! use medlarfall_coordination::spread::rank;
+//! use medlarfall_coordination::rendezvous::rank;
 //!
 //! let entries = ["entry-1", "entry-2", "entry-3"];
 //! let mut ranks = entries.map(|own| {
--- a/coordination/tests/balance.rs
+++ b/coordination/tests/balance.rs
@@ -6,7 +6,7 @@
 
 use medlarfall_coordination::balance::{Candidate, Load, choose, likely};
 use medlarfall_coordination::placement::{Proximity, name_hash};
-use medlarfall_coordination::readers::{Readers, retry_pause};
+use medlarfall_coordination::reader_election::{Readers, retry_pause};
 use medlarfall_coordination::shared_load::{Count, FRESH, Table};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
--- a/coordination/tests/outage.rs
+++ b/coordination/tests/group_outage.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use medlarfall_coordination::group_outage::Groups;
 use medlarfall_coordination::liveness::{Bounds, Detector, Step};
-use medlarfall_coordination::outage::Groups;
 
 const fn at(ms: u64) -> Duration {
     Duration::from_millis(ms)
--- a/coordination/tests/roster.rs
+++ b/coordination/tests/registry.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::roster::{Effect, LAPSE_GRACE, Roster, Server};
+use medlarfall_coordination::registry::{Effect, LAPSE_GRACE, Roster, Server};
 
 const NOW: Duration = Duration::from_secs(100);
 
--- a/coordination/tests/tidings.rs
+++ b/coordination/tests/updates.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use medlarfall_coordination::tidings::{FRESH, Tidings, pause};
+use medlarfall_coordination::updates::{FRESH, Tidings, pause};
 
 /// Entries of a failure domain in a large fleet.
 const PEERS: usize = 20;
--- a/relay/src/dialect.rs
+++ b/relay/src/dialect.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use hyper::http::response::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
-use medlarfall_coordination::roster::Server;
+use medlarfall_coordination::registry::Server;
 use medlarfall_coordination::routing::Table;
 use snafu::Snafu;
 
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 use medlarfall_coordination::canary;
-use medlarfall_coordination::readers::READER_TELLS;
+use medlarfall_coordination::reader_election::READER_TELLS;
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
-use medlarfall_coordination::tidings;
+use medlarfall_coordination::updates;
 use medlarfall_runtime::store::{Change, Changes, Error, Lease, Store};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -237,7 +237,7 @@
                 log::debug!(reason = error.to_string().as_str(); "message not sent");
             }
         }
-        let pause = tidings::pause(bytes.len(), audience.addresses.len(), audience.link_mbps);
+        let pause = updates::pause(bytes.len(), audience.addresses.len(), audience.link_mbps);
         sleep(pause.max(SHORTEST)).await;
     }
 }
--- a/relay/src/follow.rs
+++ b/relay/src/follow.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use medlarfall_coordination::canary::Order;
-use medlarfall_coordination::readers::retry_pause;
+use medlarfall_coordination::reader_election::retry_pause;
 use medlarfall_runtime::store::{Change, Changes, Error, Store};
 
 use crate::dialect::{Dialect, Entry};
--- a/relay/src/state/backend.rs
+++ b/relay/src/state/backend.rs
@@ -6,7 +6,7 @@
 
 use medlarfall_coordination::balance::{Candidate, Load};
 use medlarfall_coordination::placement::{Proximity, name_hash};
-use medlarfall_coordination::roster::Server;
+use medlarfall_coordination::registry::Server;
 use medlarfall_coordination::shared_load::Count;
 
 use crate::monitor::Monitor;
--- a/relay/src/state/beliefs.rs
+++ b/relay/src/state/beliefs.rs
@@ -1,13 +1,13 @@
 //! What this entry believes of configuration, servers and other entries.
 
 use medlarfall_coordination::canary::Canary;
-use medlarfall_coordination::outage::Groups;
-use medlarfall_coordination::readers::Readers;
+use medlarfall_coordination::group_outage::Groups;
+use medlarfall_coordination::reader_election::Readers;
+use medlarfall_coordination::registry::Roster;
 use medlarfall_coordination::retry_budget::{Bounds, Others, Window};
-use medlarfall_coordination::roster::Roster;
 use medlarfall_coordination::routing::Table;
 use medlarfall_coordination::shared_load;
-use medlarfall_coordination::tidings::Tidings;
+use medlarfall_coordination::updates::Tidings;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use medlarfall_coordination::readers::Readers;
+use medlarfall_coordination::reader_election::Readers;
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
 
--- a/relay/src/state/servers.rs
+++ b/relay/src/state/servers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::roster::{Effect, Server};
+use medlarfall_coordination::registry::{Effect, Server};
 
 use crate::dialect::Dialect;
 use crate::exchange::Found;
--- a/serving/src/modules/spread/task.rs
+++ b/serving/src/modules/spread/task.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use medlarfall_coordination::rendezvous::rank;
 use medlarfall_coordination::revision::{Message, Record};
-use medlarfall_coordination::spread::rank;
 use rand::Rng;
 use rand::seq::{IndexedRandom, IteratorRandom};
 use serde::{Deserialize, Serialize};
