--- a/coordination/src/balance.rs
+++ b/coordination/src/balance.rs
@@ -51,28 +51,28 @@
 
 impl Load {
     /// Counts a request that is sent.
-    pub fn started(&mut self) {
+    pub fn request_started(&mut self) {
         self.own = self.own.saturating_add(1);
     }
 
     /// Counts a request that has ended.
-    pub fn ended(&mut self) {
+    pub fn request_ended(&mut self) {
         self.own = self.own.saturating_sub(1);
     }
 
     /// Returns the requests of this entry at the server.
     #[must_use]
-    pub fn own(&self) -> u32 {
+    pub fn own_requests(&self) -> u32 {
         self.own
     }
 
     /// Counts a stream whose first event is awaited.
-    pub fn reading_started(&mut self) {
+    pub fn prefill_started(&mut self) {
         self.reading = self.reading.saturating_add(1);
     }
 
     /// Counts a stream whose first event came, or that ended before it.
-    pub fn reading_ended(&mut self) {
+    pub fn prefill_ended(&mut self) {
         self.reading = self.reading.saturating_sub(1);
     }
 
@@ -80,14 +80,14 @@
     #[must_use]
     pub fn streams(&self) -> Count {
         Count {
-            runs: self.own,
-            reading: self.reading,
+            streams: self.own,
+            prefilling: self.reading,
         }
     }
 
     /// Returns whether none of this entry's streams at the server has made an event.
     #[must_use]
-    pub fn only_reads(&self) -> bool {
+    pub fn only_prefilling(&self) -> bool {
         self.reading >= self.own
     }
 
@@ -95,18 +95,18 @@
     /// prompt delays others by a fraction of what a prompt does.
     #[must_use]
     pub fn stream_load(&self, peers: Count) -> f64 {
-        let reading = f64::from(self.reading + peers.reading);
-        reading + f64::from(self.own + peers.runs) * RUN_LOAD
+        let reading = f64::from(self.reading + peers.prefilling);
+        reading + f64::from(self.own + peers.streams) * RUN_LOAD
     }
 
     /// Takes in a report of all requests at the server, this entry's included.
-    pub fn reported(&mut self, requests: u32, now: Duration) {
+    pub fn record_report(&mut self, requests: u32, now: Duration) {
         self.others = f64::from(requests.saturating_sub(self.own));
         self.reported_at = now;
     }
 
     /// Notes how a request ended at the server.
-    pub fn outcome(&mut self, failed: bool, now: Duration) {
+    pub fn record_outcome(&mut self, failed: bool, now: Duration) {
         self.answered_at = now;
         let value = if failed { 1.0 } else { 0.0 };
         self.faults += (value - self.faults) * OUTCOME_WEIGHT;
@@ -117,7 +117,7 @@
     }
 
     /// Notes that the server could not be reached, or was lost.
-    pub fn unreachable(&mut self, now: Duration) {
+    pub fn record_unreachable(&mut self, now: Duration) {
         let doubled = FIRST_SUSPICION * 2_u32.pow(self.suspicions.min(4));
         self.suspicions = self.suspicions.saturating_add(1);
         self.suspected_until = now + doubled.min(LONGEST_SUSPICION);
@@ -125,7 +125,7 @@
 
     /// Notes that another entry could not reach the server; returns whether this entry has not
     /// heard of it lately either, so that it is put behind the others for a short while.
-    pub fn told_unreachable(&mut self, now: Duration) -> bool {
+    pub fn record_peer_unreachable(&mut self, now: Duration) -> bool {
         if now.saturating_sub(self.answered_at) < OWN_EVIDENCE {
             return false;
         }
@@ -141,7 +141,7 @@
 
     /// Returns the share of requests that failed lately.
     #[must_use]
-    pub fn faults(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         self.faults
     }
 
@@ -167,7 +167,7 @@
     /// Requests that it serves at once.
     pub slots: u32,
     /// Share of its requests that failed lately.
-    pub faults: f64,
+    pub failure_rate: f64,
     /// Whether it could not be reached lately.
     pub suspect: bool,
 }
@@ -178,7 +178,7 @@
 pub fn choose(candidates: &[Candidate], distance: f64, lot: u64) -> Option<usize> {
     let usual = candidates
         .iter()
-        .map(|candidate| candidate.faults)
+        .map(|candidate| candidate.failure_rate)
         .fold(f64::INFINITY, f64::min);
     let cost = |candidate: &Candidate| {
         let over = (candidate.requests + 1.0 - f64::from(candidate.slots)).max(0.0);
@@ -187,7 +187,7 @@
             Proximity::Region => distance,
             Proximity::Anywhere => 2.0 * distance,
         };
-        candidate.requests + 4.0 * over + away + FAULT_LOAD * (candidate.faults - usual)
+        candidate.requests + 4.0 * over + away + FAULT_LOAD * (candidate.failure_rate - usual)
     };
     candidates
         .iter()
@@ -214,7 +214,7 @@
 /// entries that know nothing of them; asking all servers of a large fleet would take longer than
 /// reading the prompts anew.
 #[must_use]
-pub fn likely(servers: &[(u64, Proximity)], lot: u64, count: usize) -> Vec<usize> {
+pub fn likely_servers(servers: &[(u64, Proximity)], lot: u64, count: usize) -> Vec<usize> {
     let mut order: Vec<usize> = (0..servers.len()).collect();
     order.sort_by_key(|index| Reverse(mix(servers[*index].0 ^ lot)));
     let (mut near, mut far): (Vec<usize>, Vec<usize>) = order
--- a/coordination/src/canary.rs
+++ b/coordination/src/canary.rs
@@ -15,7 +15,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::evidence::{Evidence, Observation, Side, Tolerance};
+use crate::evidence::{Cohort, Evidence, Observation, Tolerance};
 
 /// Part of what a bad version may get that the trial takes; the rest is for the end of the move.
 const TRIAL_PART: f64 = 0.5;
@@ -66,7 +66,7 @@
     /// Revision of the order in the store.
     pub revision: u64,
     /// Time that the move may take.
-    pub lasts: Duration,
+    pub duration: Duration,
 }
 
 /// How a move ended.
@@ -91,7 +91,8 @@
     /// How the move ended, as far as the entry knows.
     pub verdict: Option<Verdict>,
     /// What the new version showed to the entry, and some of what the old one showed.
-    pub seen: Vec<Observation>,
+    #[serde(rename = "seen")]
+    pub observations: Vec<Observation>,
 }
 
 /// A move.
@@ -149,13 +150,13 @@
 
     /// Counts a new request and returns the version it goes to; nothing if it does not matter any
     /// more. `entries` share what a bad version may get.
-    pub fn side(&mut self, entries: u32, now: Duration) -> Option<Side> {
+    pub fn assign(&mut self, entries: u32, now: Duration) -> Option<Cohort> {
         self.requests = self.requests.saturating_add(1);
         if let Some(verdict) = &self.verdict {
             return self.settled(verdict, now);
         }
         let Some(began) = self.began else {
-            return Some(Side::Old);
+            return Some(Cohort::Baseline);
         };
         self.closing = self.closing || self.may_close(entries, now.saturating_sub(began));
         let most = if self.closing {
@@ -164,27 +165,27 @@
             self.trial(entries, now)
         };
         if f64::from(self.sent + 1) > most + self.offset {
-            return Some(Side::Old);
+            return Some(Cohort::Baseline);
         }
         self.sent += 1;
-        Some(Side::New)
+        Some(Cohort::Canary)
     }
 
     /// Returns the version that a repeat of a request goes to: the one that is known to serve.
     #[must_use]
-    pub fn repeat_side(&self, now: Duration) -> Option<Side> {
+    pub fn assign_retry(&self, now: Duration) -> Option<Cohort> {
         match &self.verdict {
             Some(verdict) => self.settled(verdict, now),
-            None if self.closing => Some(Side::New),
-            None => Some(Side::Old),
+            None if self.closing => Some(Cohort::Canary),
+            None => Some(Cohort::Baseline),
         }
     }
 
-    fn settled(&self, verdict: &Verdict, now: Duration) -> Option<Side> {
+    fn settled(&self, verdict: &Verdict, now: Duration) -> Option<Cohort> {
         let began = self.began.unwrap_or(self.known_at);
         match verdict {
-            Verdict::Bad { .. } => Some(Side::Old),
-            Verdict::Good if now < began + self.order.lasts + OLD_STOP => Some(Side::New),
+            Verdict::Bad { .. } => Some(Cohort::Baseline),
+            Verdict::Good if now < began + self.order.duration + OLD_STOP => Some(Cohort::Canary),
             Verdict::Good => None,
         }
     }
@@ -192,7 +193,7 @@
     /// Returns how many requests the trial may have sent to the new version by now.
     fn trial(&self, entries: u32, now: Duration) -> f64 {
         let began = self.began.unwrap_or(now);
-        let lasts = self.order.lasts.as_secs_f64().max(1e-3);
+        let lasts = self.order.duration.as_secs_f64().max(1e-3);
         let gone = (now.saturating_sub(began).as_secs_f64() / lasts).min(1.0);
         let slack = self.bounds.slack / f64::from(entries.max(1)) * gone;
         TRIAL_PART * USED_PART * (self.bounds.share * f64::from(self.requests) + slack)
@@ -206,10 +207,10 @@
     /// Returns whether all requests until the end may go to the new version, which has proved no
     /// worse so far, without more of them than a bad version may get.
     fn may_close(&self, entries: u32, age: Duration) -> bool {
-        if age < RATE_KNOWN.min(self.order.lasts / 2) || !self.proved() {
+        if age < RATE_KNOWN.min(self.order.duration / 2) || !self.proved() {
             return false;
         }
-        let left = self.order.lasts.saturating_sub(age).as_secs_f64();
+        let left = self.order.duration.saturating_sub(age).as_secs_f64();
         let to_come = f64::from(self.requests) / age.as_secs_f64().max(1e-3) * left;
         let all = f64::from(self.requests) + to_come;
         f64::from(self.sent) + to_come <= USED_PART * self.allowed(entries, all) + self.offset
@@ -231,19 +232,19 @@
         let most_old = OLD_TOLD
             .0
             .saturating_add(OLD_TOLD.1.saturating_mul(seconds));
-        let told = match observation.side {
-            Side::New => self.seen.len() < TOLD,
-            Side::Old => self.old_told < most_old,
+        let told = match observation.cohort {
+            Cohort::Canary => self.seen.len() < TOLD,
+            Cohort::Baseline => self.old_told < most_old,
         };
         if told {
-            self.old_told += u32::from(observation.side == Side::Old);
+            self.old_told += u32::from(observation.cohort == Cohort::Baseline);
             self.seen.push(observation);
         }
         self.weigh();
     }
 
     /// Takes in what a peer tells.
-    pub fn hear(&mut self, peer: &Arc<str>, report: Report, now: Duration) {
+    pub fn receive(&mut self, peer: &Arc<str>, report: Report, now: Duration) {
         if report.revision != self.order.revision {
             return;
         }
@@ -255,11 +256,11 @@
             return;
         }
         let taken = self.taken.entry(Arc::clone(peer)).or_default();
-        let fresh = report.seen.get(*taken..).unwrap_or_default();
+        let fresh = report.observations.get(*taken..).unwrap_or_default();
         for seen in fresh {
             self.evidence.observe(seen);
         }
-        *taken = (*taken).max(report.seen.len());
+        *taken = (*taken).max(report.observations.len());
         match report.verdict {
             Some(Verdict::Bad { reason }) => self.verdict = Some(Verdict::Bad { reason }),
             _ => self.weigh(),
@@ -272,7 +273,7 @@
     }
 
     fn weigh(&mut self) {
-        if let Some(reason) = self.evidence.against() {
+        if let Some(reason) = self.evidence.rejection() {
             self.end(&reason);
         }
     }
@@ -284,7 +285,7 @@
     }
 
     /// Ends the move if its time has come, and returns whether it has just ended.
-    pub fn judge(&mut self, now: Duration) -> bool {
+    pub fn conclude(&mut self, now: Duration) -> bool {
         if self.verdict.is_some() {
             return false;
         }
@@ -293,10 +294,10 @@
             None if now.saturating_sub(self.known_at) >= AGE_WAIT => {
                 self.end("all entries started again since the order, whose age is not known");
             }
-            Some(age) if age + MARGIN >= self.order.lasts && self.proved() => {
+            Some(age) if age + MARGIN >= self.order.duration && self.proved() => {
                 self.verdict = Some(Verdict::Good);
             }
-            Some(age) if age + MARGIN >= self.order.lasts => {
+            Some(age) if age + MARGIN >= self.order.duration => {
                 let answers = self.evidence.requests();
                 self.end(&format!("not proved good in time by {answers} answers"));
             }
@@ -313,7 +314,7 @@
             revision: self.order.revision,
             age_ms: age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             verdict: self.verdict.clone(),
-            seen: self.seen.clone(),
+            observations: self.seen.clone(),
         }
     }
 }
--- a/coordination/src/detector.rs
+++ b/coordination/src/detector.rs
@@ -13,11 +13,11 @@
 //! let bounds = Bounds { floor: Duration::from_millis(300), ceiling: Duration::from_secs(2) };
 //! let mut detector = Detector::new(bounds);
 //! let subject = Subject { service: "briefs".into(), version: "v1".into(), server: "engine-0".into() };
-//! assert_eq!(detector.bound(&subject, Phase::Between), Duration::from_secs(2));
+//! assert_eq!(detector.bound(&subject, Phase::InterToken), Duration::from_secs(2));
 //! for _ in 0..100 {
-//!     detector.observe(&subject, Phase::Between, Duration::from_millis(10));
+//!     detector.observe(&subject, Phase::InterToken, Duration::from_millis(10));
 //! }
-//! assert_eq!(detector.bound(&subject, Phase::Between), Duration::from_millis(300));
+//! assert_eq!(detector.bound(&subject, Phase::InterToken), Duration::from_millis(300));
 //! ```
 
 use std::collections::HashMap;
@@ -55,9 +55,9 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Phase {
     /// From the request to the first token: the wait for a place and the prompt's computation.
-    First,
+    FirstToken,
     /// From one token to the next.
-    Between,
+    InterToken,
 }
 
 /// Whose gaps are learnt.
@@ -119,15 +119,15 @@
 impl Pair {
     fn phase(&self, phase: Phase) -> &Estimate {
         match phase {
-            Phase::First => &self.first,
-            Phase::Between => &self.between,
+            Phase::FirstToken => &self.first,
+            Phase::InterToken => &self.between,
         }
     }
 
     fn phase_mut(&mut self, phase: Phase) -> &mut Estimate {
         match phase {
-            Phase::First => &mut self.first,
-            Phase::Between => &mut self.between,
+            Phase::FirstToken => &mut self.first,
+            Phase::InterToken => &mut self.between,
         }
     }
 }
@@ -153,7 +153,7 @@
     }
 
     /// Learns a silence that ended an attempt.
-    pub fn fell_silent(&mut self, subject: &Subject, phase: Phase, silence: Duration) {
+    pub fn record_timeout(&mut self, subject: &Subject, phase: Phase, silence: Duration) {
         let estimate = self.server(subject).phase_mut(phase);
         estimate.peak = estimate.peak.max(silence.as_secs_f64());
     }
--- a/coordination/src/ejection.rs
+++ b/coordination/src/ejection.rs
@@ -8,7 +8,7 @@
 //! let mut ejector = Ejector::new();
 //! let now = Duration::from_secs(1);
 //! for _ in 0..3 {
-//!     ejector.failed("a".into(), now);
+//!     ejector.record_failure("a".into(), now);
 //! }
 //! assert!(ejector.ejected("a", 4, now));
 //! assert!(!ejector.ejected("a", 4, now + Duration::from_secs(60)));
@@ -60,7 +60,7 @@
     }
 
     /// Notes that a server failed.
-    pub fn failed(&mut self, server: Arc<str>, now: Duration) {
+    pub fn record_failure(&mut self, server: Arc<str>, now: Duration) {
         let record = self.records.entry(server).or_default();
         record.failures = record.failures.saturating_add(1);
         if record.failures < FAILURES {
@@ -71,7 +71,7 @@
     }
 
     /// Notes that a server answered; it is no longer ejected.
-    pub fn succeeded(&mut self, server: &str) {
+    pub fn record_success(&mut self, server: &str) {
         self.records.remove(server);
     }
 
--- a/coordination/src/evidence.rs
+++ b/coordination/src/evidence.rs
@@ -8,19 +8,19 @@
 //! bound and worse than the old version.
 //!
 //! ```
-//! use medlarfall_coordination::evidence::{Evidence, Observation, Side, Tolerance};
+//! use medlarfall_coordination::evidence::{Cohort, Evidence, Observation, Tolerance};
 //!
 //! let mut evidence = Evidence::new(Tolerance::default(), 5);
 //! for _ in 0..200 {
-//!     evidence.observe(&Observation::failure(Side::Old, "", false));
+//!     evidence.observe(&Observation::failure(Cohort::Baseline, "", false));
 //! }
 //! for _ in 0..8 {
 //!     for _ in 0..19 {
-//!         evidence.observe(&Observation::failure(Side::Old, "", false));
+//!         evidence.observe(&Observation::failure(Cohort::Baseline, "", false));
 //!     }
-//!     evidence.observe(&Observation::failure(Side::New, "", true));
+//!     evidence.observe(&Observation::failure(Cohort::Canary, "", true));
 //! }
-//! assert!(evidence.against().is_some());
+//! assert!(evidence.rejection().is_some());
 //! ```
 
 use std::collections::{BTreeMap, VecDeque};
@@ -57,11 +57,13 @@
 
 /// Which version answered.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Side {
+pub enum Cohort {
     /// The version in force before the move.
-    Old,
+    #[serde(rename = "Old")]
+    Baseline,
     /// The version that is moved to.
-    New,
+    #[serde(rename = "New")]
+    Canary,
 }
 
 /// What is compared.
@@ -70,7 +72,7 @@
     /// Whether the attempt failed.
     Failure,
     /// Time to the first token.
-    First,
+    FirstToken,
     /// Time between tokens.
     Gap,
     /// Time of a whole call.
@@ -79,14 +81,14 @@
 
 impl Measure {
     /// Every measure.
-    const ALL: [Self; 4] = [Self::Failure, Self::First, Self::Gap, Self::Call];
+    const ALL: [Self; 4] = [Self::Failure, Self::FirstToken, Self::Gap, Self::Call];
 }
 
 impl fmt::Display for Measure {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Self::Failure => "it fails more often",
-            Self::First => "its first token comes later",
+            Self::FirstToken => "its first token comes later",
             Self::Gap => "its tokens come more slowly",
             Self::Call => "its calls take longer",
         })
@@ -97,7 +99,8 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Observation {
     /// Which version answered.
-    pub side: Side,
+    #[serde(rename = "side")]
+    pub cohort: Cohort,
     /// Route of the request; empty for generations.
     pub route: Arc<str>,
     /// Whether the attempt failed; absent while it runs.
@@ -113,9 +116,9 @@
 impl Observation {
     /// Returns an observation without times.
     #[must_use]
-    pub fn failure(side: Side, route: &str, failed: bool) -> Self {
+    pub fn failure(side: Cohort, route: &str, failed: bool) -> Self {
         Self {
-            side,
+            cohort: side,
             route: Arc::from(route),
             failed: Some(failed),
             first: None,
@@ -128,7 +131,7 @@
     fn time(&self, measure: Measure) -> Option<Duration> {
         match measure {
             Measure::Failure => None,
-            Measure::First => self.first,
+            Measure::FirstToken => self.first,
             Measure::Gap => self.gap,
             Measure::Call => self.call,
         }
@@ -200,16 +203,16 @@
 
 impl Comparison {
     /// Takes whether an attempt failed.
-    fn take(&mut self, side: Side, failed: bool, tolerated: f64) {
+    fn take(&mut self, side: Cohort, failed: bool, tolerated: f64) {
         self.tests[0].take(side, failed, tolerated);
     }
 
     /// Takes a time; it is bad if it lies above the bounds that earlier old times gave.
-    fn take_time(&mut self, side: Side, time: Duration, limits: Limits, tolerated: f64) {
+    fn take_time(&mut self, side: Cohort, time: Duration, limits: Limits, tolerated: f64) {
         for (test, bound) in self.tests.iter_mut().zip(self.bounds.iter().flatten()) {
             test.take(side, time > *bound, tolerated);
         }
-        if side == Side::New {
+        if side == Cohort::Canary {
             return;
         }
         self.recent.push_back(time);
@@ -290,7 +293,7 @@
 
     /// Takes an observation.
     pub fn observe(&mut self, observation: &Observation) {
-        if observation.side == Side::New && observation.failed.is_some() {
+        if observation.cohort == Cohort::Canary && observation.failed.is_some() {
             self.requests += 1;
         }
         self.take(&Arc::from(""), observation);
@@ -319,11 +322,16 @@
             match (measure, observation.failed, observation.time(measure)) {
                 (Measure::Failure, Some(failed), _) => {
                     let comparison = self.comparisons.entry(key()).or_default();
-                    comparison.take(observation.side, failed, tolerance.failures);
+                    comparison.take(observation.cohort, failed, tolerance.failures);
                 }
                 (_, _, Some(time)) => {
                     let comparison = self.comparisons.entry(key()).or_default();
-                    comparison.take_time(observation.side, time, tolerance.of(measure), slow_share);
+                    comparison.take_time(
+                        observation.cohort,
+                        time,
+                        tolerance.of(measure),
+                        slow_share,
+                    );
                 }
                 _ => {}
             }
@@ -344,7 +352,7 @@
 
     /// Returns what speaks against the new version if it is enough.
     #[must_use]
-    pub fn against(&self) -> Option<String> {
+    pub fn rejection(&self) -> Option<String> {
         let (route, measure, value) = self.worst()?;
         if value < 1.0 {
             return None;
--- a/coordination/src/evidence/process.rs
+++ b/coordination/src/evidence/process.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::Side;
+use super::Cohort;
 
 /// Old attempts that one new attempt is compared with, at most.
 const GROUP: usize = 64;
@@ -106,10 +106,10 @@
     }
 
     /// Takes an attempt; `tolerated` is the share of the new version's bad ones that is borne.
-    pub(super) fn take(&mut self, side: Side, bad: bool, tolerated: f64) {
+    pub(super) fn take(&mut self, side: Cohort, bad: bool, tolerated: f64) {
         match side {
-            Side::Old => self.old(bad),
-            Side::New => self.new_version(bad, tolerated),
+            Cohort::Baseline => self.old(bad),
+            Cohort::Canary => self.new_version(bad, tolerated),
         }
     }
 
--- a/coordination/src/group_outage.rs
+++ b/coordination/src/group_outage.rs
@@ -42,7 +42,7 @@
 impl<K: Eq + Hash> Groups<K> {
     /// Notes that `server` of `group` could not be reached; returns whether the group has become
     /// suspect by that.
-    pub fn failed(&mut self, group: K, server: &Arc<str>, now: Duration) -> bool {
+    pub fn record_failure(&mut self, group: K, server: &Arc<str>, now: Duration) -> bool {
         let record = self.records.entry(group).or_insert_with(|| Record {
             server: Arc::clone(server),
             failed_at: now,
@@ -62,7 +62,7 @@
     }
 
     /// Notes that a server of `group` answered.
-    pub fn answered(&mut self, group: &K) {
+    pub fn record_response(&mut self, group: &K) {
         self.records.remove(group);
     }
 
--- a/coordination/src/liveness.rs
+++ b/coordination/src/liveness.rs
@@ -11,15 +11,15 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// Silence after which a server is asked that makes events.
-    pub quiet: Duration,
+    pub silence_limit: Duration,
     /// Silence after which a server is asked that only reads prompts.
     pub reading: Duration,
     /// Longest wait for an answer.
-    pub answer: Duration,
+    pub probe_timeout: Duration,
     /// Unanswered questions after which the server is lost.
-    pub questions: u32,
+    pub probe_limit: u32,
     /// Silence of a single stream, at a server that lives, after which its connection is dead.
-    pub stream: Duration,
+    pub stream_silence_limit: Duration,
 }
 
 impl Default for Bounds {
@@ -28,11 +28,11 @@
     /// until it is late.
     fn default() -> Self {
         Self {
-            quiet: Duration::from_millis(100),
+            silence_limit: Duration::from_millis(100),
             reading: Duration::from_millis(250),
-            answer: Duration::from_millis(80),
-            questions: 2,
-            stream: Duration::from_millis(420),
+            probe_timeout: Duration::from_millis(80),
+            probe_limit: 2,
+            stream_silence_limit: Duration::from_millis(420),
         }
     }
 }
@@ -43,7 +43,7 @@
     /// Look again at this time.
     Wait(Duration),
     /// Ask the server.
-    Ask,
+    Probe,
     /// The server is lost.
     Lost,
 }
@@ -68,13 +68,13 @@
     }
 
     /// Notes that something came from the server.
-    pub fn heard(&mut self, now: Duration) {
+    pub fn record_activity(&mut self, now: Duration) {
         self.heard_at = self.heard_at.max(now);
         self.unanswered = 0;
     }
 
     /// Notes that a question found no answer, unless something was heard since it was `asked_at`.
-    pub fn unanswered(&mut self, asked_at: Duration) {
+    pub fn record_failed_probe(&mut self, asked_at: Duration) {
         if self.heard_at <= asked_at {
             self.unanswered += 1;
         }
@@ -82,17 +82,17 @@
 
     /// Returns what to do next; `reading` says that no stream of the server has made an event.
     #[must_use]
-    pub fn next(&self, now: Duration, reading: bool) -> Step {
+    pub fn next_step(&self, now: Duration, reading: bool) -> Step {
         let quiet = if reading {
             self.bounds.reading
         } else {
-            self.bounds.quiet
+            self.bounds.silence_limit
         };
         let due = self.heard_at + quiet;
         match self.unanswered {
-            unanswered if unanswered >= self.bounds.questions => Step::Lost,
+            unanswered if unanswered >= self.bounds.probe_limit => Step::Lost,
             0 if now < due => Step::Wait(due),
-            _ => Step::Ask,
+            _ => Step::Probe,
         }
     }
 
--- a/coordination/src/reader_election.rs
+++ b/coordination/src/reader_election.rs
@@ -22,7 +22,7 @@
 const FRESH: Duration = Duration::from_millis(1_250);
 
 /// Longest time between two messages of a reader.
-pub const READER_TELLS: Duration = Duration::from_millis(400);
+pub const READER_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Time that each further entry waits before it steps in, so that those before it are heard first.
 /// A fleet that stepped in at once would fill the narrow links with what each has to tell.
@@ -57,7 +57,7 @@
 
 /// What this entry knows of the others' reading.
 #[derive(Clone, Debug)]
-pub struct Readers {
+pub struct Election {
     own: Rank,
     known: HashMap<Arc<str>, Known>,
 }
@@ -77,7 +77,7 @@
     (Reverse(link_mbps), name_hash(name))
 }
 
-impl Readers {
+impl Election {
     /// Returns what an entry knows at its start.
     #[must_use]
     pub fn new(own: &str, link_mbps: u32) -> Self {
@@ -88,7 +88,7 @@
     }
 
     /// Takes in whether another entry, with a link of `link_mbps`, reads with success.
-    pub fn told(&mut self, entry: &Arc<str>, link_mbps: u32, reads: bool, now: Duration) {
+    pub fn record(&mut self, entry: &Arc<str>, link_mbps: u32, reads: bool, now: Duration) {
         let known = self.known.entry(Arc::clone(entry)).or_insert(Known {
             rank: rank(entry, link_mbps),
             read_at: None,
--- a/coordination/src/registry.rs
+++ b/coordination/src/registry.rs
@@ -31,7 +31,7 @@
     /// Whether it is about to leave.
     pub leaving: bool,
     /// When it started, in Unix milliseconds; tells apart two starts under one name.
-    pub born_ms: Option<u64>,
+    pub started_ms: Option<u64>,
 }
 
 /// What the keeper said last of one server.
@@ -44,7 +44,7 @@
 
 /// The servers.
 #[derive(Clone, Debug, Default)]
-pub struct Roster {
+pub struct Registry {
     records: HashMap<Arc<str>, Record>,
     removed: HashMap<Arc<str>, u64>,
     away: bool,
@@ -68,7 +68,7 @@
     Lapsed,
 }
 
-impl Roster {
+impl Registry {
     /// Returns an empty roster.
     #[must_use]
     pub fn new() -> Self {
@@ -76,12 +76,12 @@
     }
 
     /// Notes that the keeper does not answer.
-    pub fn keeper_lost(&mut self) {
+    pub fn store_lost(&mut self) {
         self.away = true;
     }
 
     /// Notes that the keeper answers.
-    pub fn keeper_answered(&mut self, now: Duration) {
+    pub fn store_responded(&mut self, now: Duration) {
         if self.away {
             self.away = false;
             self.trusted_from = now + LAPSE_GRACE;
@@ -89,7 +89,7 @@
     }
 
     /// Takes in what a server announced at a revision of the keeper.
-    pub fn announce(&mut self, server: Server, revision: u64) -> Effect {
+    pub fn register(&mut self, server: Server, revision: u64) -> Effect {
         let known = self.records.get(&server.id);
         let seen = known.map_or(0, |record| record.revision);
         let removed = self.removed.get(&server.id).copied().unwrap_or(0);
@@ -100,7 +100,7 @@
         if self.superseded(&server, revision) {
             return Effect::Stale;
         }
-        let again = known.is_none_or(|record| record.server.born_ms != server.born_ms);
+        let again = known.is_none_or(|record| record.server.started_ms != server.started_ms);
         let effect = match server.leaving {
             true => Effect::Leaving,
             false if again => Effect::Joined,
@@ -121,7 +121,7 @@
     /// Returns whether another server has started at the address of `server` since it started.
     fn superseded(&self, server: &Server, revision: u64) -> bool {
         self.records.iter().any(|(id, other)| {
-            let later = match (other.server.born_ms, server.born_ms) {
+            let later = match (other.server.started_ms, server.started_ms) {
                 (Some(other), Some(own)) => other > own,
                 _ => other.revision > revision,
             };
@@ -148,7 +148,7 @@
 
     /// Returns whether the keeper answers.
     #[must_use]
-    pub fn keeper_answers(&self) -> bool {
+    pub fn store_available(&self) -> bool {
         !self.away
     }
 
--- a/coordination/src/retry_budget.rs
+++ b/coordination/src/retry_budget.rs
@@ -11,7 +11,7 @@
 //! assert!(budget.withdraw());
 //! assert!(!budget.withdraw());
 //! for _ in 0..10 {
-//!     budget.succeeded();
+//!     budget.record_success();
 //! }
 //! assert!(budget.withdraw());
 //!
@@ -70,7 +70,7 @@
     }
 
     /// Counts a success.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.policy.share).min(self.policy.ceiling);
     }
 
@@ -131,7 +131,7 @@
 
 impl Others {
     /// Replaces what `peer` told before.
-    pub fn told(&mut self, peer: &Arc<str>, usage: Usage, now: Duration) {
+    pub fn record(&mut self, peer: &Arc<str>, usage: Usage, now: Duration) {
         self.told.insert(Arc::clone(peer), (now, usage));
     }
 
--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -24,7 +24,7 @@
 use crate::schedule::Plan;
 
 /// The whole of a service's requests, in thousandths.
-pub const WHOLE: u64 = 1_000;
+pub const FULL_SHARE: u64 = 1_000;
 
 /// How far a move has come.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -166,7 +166,7 @@
     ///
     /// An end that is stored is never changed, nor is the record of another move.
     #[must_use]
-    pub fn over(self, stored: &Self) -> Option<Self> {
+    pub fn replacement_for(self, stored: &Self) -> Option<Self> {
         let same = self.number == stored.number && self.id == stored.id;
         let later = self.phase > stored.phase;
         let open = same && later && !stored.phase.ended();
@@ -178,7 +178,7 @@
     pub fn share(&self) -> u64 {
         match &self.phase {
             Phase::Stage(index) => self.plan.shares.get(*index).copied().unwrap_or(0),
-            Phase::Done => WHOLE,
+            Phase::Done => FULL_SHARE,
             Phase::Braked { .. } | Phase::TakenBack { .. } => 0,
         }
     }
@@ -190,7 +190,7 @@
     /// stage does so at every later stage.
     #[must_use]
     pub fn version(&self, request_id: &str) -> &Arc<str> {
-        let lot = xxh3_64_with_seed(request_id.as_bytes(), self.number) % WHOLE;
+        let lot = xxh3_64_with_seed(request_id.as_bytes(), self.number) % FULL_SHARE;
         if lot < self.share() {
             &self.to
         } else {
--- a/coordination/src/routing.rs
+++ b/coordination/src/routing.rs
@@ -25,7 +25,7 @@
 impl Kind {
     /// Returns whether the answer is a stream of events.
     #[must_use]
-    pub fn streams(self) -> bool {
+    pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
     }
 
--- a/coordination/src/schedule.rs
+++ b/coordination/src/schedule.rs
@@ -8,7 +8,7 @@
 //! let progress = Progress {
 //!     stage: 0,
 //!     in_stage: plan.ceiling(),
-//!     left: Duration::from_secs(3_600),
+//!     remaining: Duration::from_secs(3_600),
 //!     requests: plan.requests,
 //!     suspect: false,
 //! };
@@ -51,7 +51,7 @@
     /// Time since the stage began.
     pub in_stage: Duration,
     /// Time until the deadline.
-    pub left: Duration,
+    pub remaining: Duration,
     /// Requests that the new version has answered at this stage.
     pub requests: u64,
     /// Whether the evidence leans against the new version without being enough.
@@ -66,7 +66,7 @@
     /// It goes to the next stage, or is done after the last.
     Advance,
     /// It cannot be proved good by its deadline and returns.
-    Return,
+    TakeBack,
 }
 
 impl Plan {
@@ -99,9 +99,9 @@
         let later = u32::try_from(self.stages_left(progress.stage) - 1).unwrap_or(u32::MAX);
         let needed = floor.saturating_sub(progress.in_stage) + floor.saturating_mul(later);
         let proved = progress.requests >= self.requests && !progress.suspect;
-        let dwell = self.dwell(progress.stage, progress.left + progress.in_stage);
-        match progress.left {
-            left if left.is_zero() || left < needed => Decision::Return,
+        let dwell = self.dwell(progress.stage, progress.remaining + progress.in_stage);
+        match progress.remaining {
+            left if left.is_zero() || left < needed => Decision::TakeBack,
             _ if proved && progress.in_stage >= dwell => Decision::Advance,
             _ => Decision::Stay,
         }
--- a/coordination/src/shared_load.rs
+++ b/coordination/src/shared_load.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Count {
     /// Streams, those that wait for their first event included.
-    pub runs: u32,
+    pub streams: u32,
     /// Streams that wait for their first event: their prompts are read.
-    pub reading: u32,
+    pub prefilling: u32,
 }
 
 /// What one peer told.
@@ -38,12 +38,12 @@
 
 impl Table {
     /// Replaces what `peer` told before.
-    pub fn told(&mut self, peer: Arc<str>, counts: HashMap<Arc<str>, Count>, now: Duration) {
+    pub fn record(&mut self, peer: Arc<str>, counts: HashMap<Arc<str>, Count>, now: Duration) {
         self.forget(&peer);
         for (server, count) in &counts {
             let total = self.totals.entry(Arc::clone(server)).or_default();
-            total.runs += count.runs;
-            total.reading += count.reading;
+            total.streams += count.streams;
+            total.prefilling += count.prefilling;
         }
         self.peers.insert(peer, Told { at: now, counts });
     }
@@ -81,9 +81,9 @@
             let Some(total) = self.totals.get_mut(&server) else {
                 continue;
             };
-            total.runs = total.runs.saturating_sub(count.runs);
-            total.reading = total.reading.saturating_sub(count.reading);
-            if total.runs == 0 {
+            total.streams = total.streams.saturating_sub(count.streams);
+            total.prefilling = total.prefilling.saturating_sub(count.prefilling);
+            if total.streams == 0 {
                 self.totals.remove(&server);
             }
         }
--- a/coordination/src/updates.rs
+++ b/coordination/src/updates.rs
@@ -25,13 +25,13 @@
 
 /// Things to tell, each with the time from which it is new.
 #[derive(Clone, Debug)]
-pub struct Tidings<T> {
+pub struct Updates<T> {
     items: Vec<(T, Duration)>,
     told_at: Duration,
     untold: bool,
 }
 
-impl<T> Default for Tidings<T> {
+impl<T> Default for Updates<T> {
     fn default() -> Self {
         Self {
             items: Vec::new(),
@@ -41,7 +41,7 @@
     }
 }
 
-impl<T: Clone + PartialEq> Tidings<T> {
+impl<T: Clone + PartialEq> Updates<T> {
     /// Adds what this entry itself has found out.
     pub fn insert(&mut self, item: T, now: Duration) {
         match self.items.iter_mut().find(|(known, _)| *known == item) {
@@ -58,7 +58,7 @@
     }
 
     /// Adds what another entry told: it is passed on only where all is told.
-    pub fn insert_heard(&mut self, item: T) {
+    pub fn insert_received(&mut self, item: T) {
         if self.items.iter().all(|(known, _)| *known != item) {
             self.items.push((item, Duration::ZERO));
         }
@@ -71,18 +71,18 @@
     }
 
     /// Forgets what is no longer new.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         self.items.retain(|(_, at)| is_fresh(*at, now));
     }
 
     /// Returns whether something has not been told yet.
     #[must_use]
-    pub fn untold(&self) -> bool {
+    pub fn has_unsent(&self) -> bool {
         self.untold
     }
 
     /// Returns what the next message tells: all of it to `everyone` now and then, else what is new.
-    pub fn tell(&mut self, everyone: bool, now: Duration) -> Vec<T> {
+    pub fn next_batch(&mut self, everyone: bool, now: Duration) -> Vec<T> {
         let due = everyone || self.untold || now.saturating_sub(self.told_at) >= AGAIN;
         if !due {
             return Vec::new();
--- a/coordination/tests/balance.rs
+++ b/coordination/tests/balance.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::balance::{Candidate, Load, choose, likely};
+use medlarfall_coordination::balance::{Candidate, Load, choose, likely_servers};
 use medlarfall_coordination::placement::{Proximity, name_hash};
-use medlarfall_coordination::reader_election::{Readers, retry_pause};
+use medlarfall_coordination::reader_election::{Election, retry_pause};
 use medlarfall_coordination::shared_load::{Count, FRESH, Table};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -17,7 +17,7 @@
         proximity: Proximity::FailureDomain,
         requests: 0.0,
         slots: 8,
-        faults: 0.0,
+        failure_rate: 0.0,
         suspect: false,
     }
 }
@@ -54,7 +54,7 @@
 #[test]
 fn a_server_that_fails_more_than_the_others_gets_less() {
     let grey = Candidate {
-        faults: 0.4,
+        failure_rate: 0.4,
         ..candidate("grey")
     };
     let busy = Candidate {
@@ -68,7 +68,7 @@
 #[test]
 fn failures_that_all_share_count_for_nothing() {
     let failing = |name, requests| Candidate {
-        faults: 0.3,
+        failure_rate: 0.3,
         requests,
         ..candidate(name)
     };
@@ -80,9 +80,9 @@
 fn what_others_say_counts_only_without_evidence_of_one_s_own() {
     let now = Duration::from_secs(5);
     let mut load = Load::default();
-    load.outcome(false, now);
-    assert!(!load.told_unreachable(now + Duration::from_millis(100)));
-    assert!(load.told_unreachable(now + Duration::from_secs(1)));
+    load.record_outcome(false, now);
+    assert!(!load.record_peer_unreachable(now + Duration::from_millis(100)));
+    assert!(load.record_peer_unreachable(now + Duration::from_secs(1)));
     assert!(load.suspect(now + Duration::from_millis(1_100)));
 }
 
@@ -90,12 +90,12 @@
 fn what_a_silent_peer_told_is_forgotten() {
     let mut table = Table::default();
     let count = Count {
-        runs: 2,
-        reading: 1,
+        streams: 2,
+        prefilling: 1,
     };
     let told = HashMap::from([(Arc::from("s1"), count)]);
-    table.told(Arc::from("entry-1"), told.clone(), Duration::ZERO);
-    table.told(Arc::from("entry-1"), told, Duration::ZERO);
+    table.record(Arc::from("entry-1"), told.clone(), Duration::ZERO);
+    table.record(Arc::from("entry-1"), told, Duration::ZERO);
     assert_eq!(table.at("s1"), count, "a repeated message counted twice");
     table.expire(FRESH + Duration::from_millis(1));
     assert_eq!(table.at("s1"), Count::default());
@@ -115,8 +115,8 @@
         now += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / 6.2);
         reading.retain(|(end, entry, server)| {
             if *end <= now {
-                loads[*entry][*server].reading_ended();
-                loads[*entry][*server].ended();
+                loads[*entry][*server].prefill_ended();
+                loads[*entry][*server].request_ended();
             }
             *end > now
         });
@@ -130,8 +130,8 @@
             })
             .collect();
         let server = choose(&candidates, 1.0, rng.random()).expect("servers");
-        loads[entry][server].started();
-        loads[entry][server].reading_started();
+        loads[entry][server].request_started();
+        loads[entry][server].prefill_started();
         reading.push((now + Duration::from_secs(1), entry, server));
         let at = reading.iter().filter(|(_, _, other)| *other == server);
         most = most.max(u32::try_from(at.count()).expect("few"));
@@ -143,7 +143,7 @@
                 .collect();
             for (hearer, table) in tables.iter_mut().enumerate() {
                 if hearer != teller {
-                    table.told(Arc::from(format!("e{teller}")), told.clone(), now);
+                    table.record(Arc::from(format!("e{teller}")), told.clone(), now);
                 }
             }
         }
@@ -169,7 +169,7 @@
     let names: Vec<Arc<str>> = (0..entries)
         .map(|n| Arc::from(format!("entry-{n}")))
         .collect();
-    let mut fleet: Vec<Readers> = names.iter().map(|name| Readers::new(name, 100)).collect();
+    let mut fleet: Vec<Election> = names.iter().map(|name| Election::new(name, 100)).collect();
     let mut silent: Vec<usize> = Vec::new();
     let (mut most, mut back) = (0, None);
     for tick in 0..60_u64 {
@@ -191,7 +191,7 @@
         for (hearer, readers) in fleet.iter_mut().enumerate() {
             let heard = (0..entries).filter(|e| *e != hearer && !silent.contains(e));
             for entry in heard {
-                readers.told(&names[entry], 100, reads[entry], now);
+                readers.record(&names[entry], 100, reads[entry], now);
             }
         }
     }
@@ -213,11 +213,11 @@
 /// The load that answers: a reader tells a large fleet of each change, which fills a narrow link.
 #[test]
 fn entries_with_narrow_links_leave_the_reading_to_others() {
-    let mut narrow = Readers::new("a", 10);
-    let mut wide = Readers::new("b", 200);
+    let mut narrow = Election::new("a", 10);
+    let mut wide = Election::new("b", 200);
     for name in ["c", "d", "e"] {
-        narrow.told(&Arc::from(name), 100, true, Duration::ZERO);
-        wide.told(&Arc::from(name), 100, true, Duration::ZERO);
+        narrow.record(&Arc::from(name), 100, true, Duration::ZERO);
+        wide.record(&Arc::from(name), 100, true, Duration::ZERO);
     }
     assert!(!narrow.must_read(Duration::ZERO));
     assert!(wide.must_read(Duration::ZERO));
@@ -225,9 +225,9 @@
 
 #[test]
 fn an_entry_that_the_store_turns_away_knows_that_others_read() {
-    let mut first = Readers::new("a", 200);
+    let mut first = Election::new("a", 200);
     assert!(!first.others_read(Duration::ZERO));
-    first.told(&Arc::from("b"), 10, true, Duration::ZERO);
+    first.record(&Arc::from("b"), 10, true, Duration::ZERO);
     assert!(first.must_read(Duration::ZERO));
     assert!(first.others_read(Duration::from_secs(1)));
     assert!(!first.others_read(Duration::from_secs(2)));
@@ -235,7 +235,7 @@
 
 #[test]
 fn an_entry_that_hears_of_nobody_reads() {
-    let readers = Readers::new("entry-0", 100);
+    let readers = Election::new("entry-0", 100);
     assert!(readers.must_read(Duration::from_secs(1)));
 }
 
@@ -281,7 +281,7 @@
             }
         }
         all += 1;
-        found += u32::from(likely(&servers, lot, 32).contains(&chosen));
+        found += u32::from(likely_servers(&servers, lot, 32).contains(&chosen));
     }
     assert!(found * 10 >= all * 8, "{found} of {all} found");
 }
@@ -289,9 +289,9 @@
 #[test]
 fn no_more_servers_are_asked_than_there_are() {
     let servers = [(1, Proximity::FailureDomain), (2, Proximity::Region)];
-    assert_eq!(likely(&servers, 5, 32).len(), 2);
-    assert_eq!(likely(&servers, 5, 1).len(), 1);
-    assert!(likely(&[], 5, 8).is_empty());
+    assert_eq!(likely_servers(&servers, 5, 32).len(), 2);
+    assert_eq!(likely_servers(&servers, 5, 1).len(), 1);
+    assert!(likely_servers(&[], 5, 8).is_empty());
 }
 
 /// Two readers' watches fall silent at the same moment. Each has just heard that the other reads, and
--- a/coordination/tests/canary.rs
+++ b/coordination/tests/canary.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::canary::{Bounds, Canary, Order, Verdict};
-use medlarfall_coordination::evidence::{Observation, Side};
+use medlarfall_coordination::evidence::{Cohort, Observation};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -78,7 +78,7 @@
     Order {
         version: Arc::from("v2"),
         revision: 7,
-        lasts: LASTS,
+        duration: LASTS,
     }
 }
 
@@ -109,8 +109,8 @@
             }
             let entry = random.random_range(0..case.entries);
             let count = u32::try_from(case.entries).expect("few entries");
-            let side = entries[entry].side(count, now);
-            let is_new = side == Some(Side::New);
+            let side = entries[entry].assign(count, now);
+            let is_new = side == Some(Cohort::Canary);
             all += 1.0;
             let worse = is_new && now >= START + case.from;
             if is_new {
@@ -128,7 +128,11 @@
                 }
             }
             let took = 60.0 * factor * random.random_range(0.6..1.6);
-            let side = if is_new { Side::New } else { Side::Old };
+            let side = if is_new {
+                Cohort::Canary
+            } else {
+                Cohort::Baseline
+            };
             entries[entry].observe(
                 Observation {
                     call: (!failed).then(|| Duration::from_secs_f64(took / 1_000.0)),
@@ -145,9 +149,9 @@
                 .enumerate()
                 .filter(|(peer, _)| *peer != index)
             {
-                entry.hear(&names[peer], report.clone(), now);
+                entry.receive(&names[peer], report.clone(), now);
             }
-            entry.judge(now);
+            entry.conclude(now);
         }
     }
     let verdicts = entries.iter().map(|entry| entry.verdict().cloned());
@@ -236,31 +240,31 @@
 #[test]
 fn an_entry_that_does_not_know_the_order_s_age_sends_nothing_to_the_new_version() {
     let mut entry = Canary::new(order(), BOUNDS, 0.0, false, START);
-    assert_eq!(entry.side(1, START), Some(Side::Old));
-    assert!(!entry.judge(START + Duration::from_secs(1)));
-    assert!(entry.judge(START + Duration::from_secs(3)));
+    assert_eq!(entry.assign(1, START), Some(Cohort::Baseline));
+    assert!(!entry.conclude(START + Duration::from_secs(1)));
+    assert!(entry.conclude(START + Duration::from_secs(3)));
     assert!(matches!(entry.verdict(), Some(Verdict::Bad { .. })));
 }
 
 #[test]
 fn an_entry_that_started_again_learns_the_order_s_age_from_its_peers() {
     let mut peer = Canary::new(order(), BOUNDS, 0.5, true, START);
-    peer.side(2, START);
+    peer.assign(2, START);
     let now = START + Duration::from_secs(10);
     let mut entry = Canary::new(order(), BOUNDS, 0.0, false, now);
-    entry.hear(&Arc::from("peer"), peer.report(now), now);
-    assert!(!entry.judge(now + Duration::from_secs(4)));
-    assert!(entry.judge(START + LASTS));
+    entry.receive(&Arc::from("peer"), peer.report(now), now);
+    assert!(!entry.conclude(now + Duration::from_secs(4)));
+    assert!(entry.conclude(START + LASTS));
 }
 
 #[test]
 fn what_the_store_says_goes_before_what_an_entry_found() {
     let mut entry = Canary::new(order(), BOUNDS, 0.5, true, START);
     entry.record(Verdict::Good);
-    assert_eq!(entry.side(1, START + LASTS), Some(Side::New));
-    assert_eq!(entry.side(1, START + LASTS * 2), None);
+    assert_eq!(entry.assign(1, START + LASTS), Some(Cohort::Canary));
+    assert_eq!(entry.assign(1, START + LASTS * 2), None);
     entry.record(Verdict::Bad {
         reason: Arc::from("recorded"),
     });
-    assert_eq!(entry.side(1, START + LASTS * 2), Some(Side::Old));
+    assert_eq!(entry.assign(1, START + LASTS * 2), Some(Cohort::Baseline));
 }
--- a/coordination/tests/detector.rs
+++ b/coordination/tests/detector.rs
@@ -30,8 +30,8 @@
         let mut detector = Detector::new(BOUNDS);
         for gap in gaps {
             let gap = Duration::from_millis(u64::from(*gap));
-            detector.observe(&subject("engine-0"), Phase::Between, gap);
-            let bound = detector.bound(&subject("engine-0"), Phase::Between);
+            detector.observe(&subject("engine-0"), Phase::InterToken, gap);
+            let bound = detector.bound(&subject("engine-0"), Phase::InterToken);
             assert!(bound >= BOUNDS.floor && bound <= BOUNDS.ceiling);
             assert!(bound >= gap.min(BOUNDS.ceiling));
         }
@@ -41,30 +41,30 @@
 #[test]
 fn a_new_server_is_judged_by_its_version_and_a_new_version_by_the_ceiling() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "engine-0", Phase::Between, 10);
+    learn(&mut detector, "engine-0", Phase::InterToken, 10);
     assert_eq!(
-        detector.bound(&subject("engine-1"), Phase::Between),
+        detector.bound(&subject("engine-1"), Phase::InterToken),
         BOUNDS.floor
     );
     assert_eq!(
-        detector.bound(&subject("engine-1"), Phase::First),
+        detector.bound(&subject("engine-1"), Phase::FirstToken),
         BOUNDS.ceiling
     );
     let other = Subject {
         version: "v2".into(),
         ..subject("engine-0")
     };
-    assert_eq!(detector.bound(&other, Phase::Between), BOUNDS.ceiling);
+    assert_eq!(detector.bound(&other, Phase::InterToken), BOUNDS.ceiling);
 }
 
 #[test]
 fn a_slow_server_is_borne_without_the_quick_ones_waiting_longer() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "slow", Phase::Between, 300);
-    learn(&mut detector, "quick", Phase::Between, 10);
-    assert!(detector.bound(&subject("slow"), Phase::Between) >= Duration::from_millis(600));
+    learn(&mut detector, "slow", Phase::InterToken, 300);
+    learn(&mut detector, "quick", Phase::InterToken, 10);
+    assert!(detector.bound(&subject("slow"), Phase::InterToken) >= Duration::from_millis(600));
     assert_eq!(
-        detector.bound(&subject("quick"), Phase::Between),
+        detector.bound(&subject("quick"), Phase::InterToken),
         BOUNDS.floor
     );
 }
@@ -72,27 +72,27 @@
 #[test]
 fn a_silence_widens_the_bound_of_its_server_only() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "engine-0", Phase::Between, 10);
-    learn(&mut detector, "engine-1", Phase::Between, 10);
-    detector.fell_silent(&subject("engine-0"), Phase::Between, BOUNDS.floor);
-    let widened = detector.bound(&subject("engine-0"), Phase::Between);
+    learn(&mut detector, "engine-0", Phase::InterToken, 10);
+    learn(&mut detector, "engine-1", Phase::InterToken, 10);
+    detector.record_timeout(&subject("engine-0"), Phase::InterToken, BOUNDS.floor);
+    let widened = detector.bound(&subject("engine-0"), Phase::InterToken);
     assert!(widened > BOUNDS.floor);
     assert_eq!(
-        detector.bound(&subject("engine-1"), Phase::Between),
+        detector.bound(&subject("engine-1"), Phase::InterToken),
         BOUNDS.floor
     );
-    learn(&mut detector, "engine-0", Phase::Between, 10);
-    assert!(detector.bound(&subject("engine-0"), Phase::Between) < widened);
+    learn(&mut detector, "engine-0", Phase::InterToken, 10);
+    assert!(detector.bound(&subject("engine-0"), Phase::InterToken) < widened);
 }
 
 #[test]
 fn servers_that_have_gone_are_forgotten() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "engine-0", Phase::Between, 10);
+    learn(&mut detector, "engine-0", Phase::InterToken, 10);
     detector.retain(|_| false);
     assert_eq!(detector.servers(), 0);
     assert_eq!(
-        detector.bound(&subject("engine-0"), Phase::Between),
+        detector.bound(&subject("engine-0"), Phase::InterToken),
         BOUNDS.ceiling
     );
 }
--- a/coordination/tests/evidence.rs
+++ b/coordination/tests/evidence.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use medlarfall_coordination::evidence::{Evidence, Observation, Side, Tolerance};
+use medlarfall_coordination::evidence::{Cohort, Evidence, Observation, Tolerance};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -24,7 +24,7 @@
 const STAGES: [(f64, u32); 4] = [(0.05, 60), (0.25, 300), (0.5, 600), (1.0, 1_000)];
 
 /// Draws an observation of a version on one of three routes.
-fn draw(random: &mut ChaCha8Rng, side: Side, version: Version) -> Observation {
+fn draw(random: &mut ChaCha8Rng, side: Cohort, version: Version) -> Observation {
     let route = ["", "GET /plots", "GET /records"][random.random_range(0..3)];
     let failed = random.random_bool(version.failures);
     let tail = if random.random_bool(version.tail) {
@@ -51,13 +51,13 @@
         let end = requests + count;
         while requests < end {
             if !random.random_bool(share) {
-                evidence.observe(&draw(&mut random, Side::Old, old));
+                evidence.observe(&draw(&mut random, Cohort::Baseline, old));
                 continue;
             }
             requests += 1;
-            let observation = draw(&mut random, Side::New, new(requests));
+            let observation = draw(&mut random, Cohort::Canary, new(requests));
             evidence.observe(&observation);
-            if evidence.against().is_some() {
+            if evidence.rejection().is_some() {
                 return Some(requests);
             }
         }
@@ -137,7 +137,7 @@
 /// processor, `mean_wait_ms` in the mean, that hits both versions alike.
 fn draw_busy(
     random: &mut ChaCha8Rng,
-    side: Side,
+    side: Cohort,
     engine_ms: f64,
     mean_wait_ms: f64,
 ) -> Observation {
@@ -155,10 +155,10 @@
     let mut evidence = Evidence::new(Tolerance::default(), 3);
     (1..=most).find(|_| {
         for _ in 0..19 {
-            evidence.observe(&draw_busy(&mut random, Side::Old, 4.0, 20.0));
+            evidence.observe(&draw_busy(&mut random, Cohort::Baseline, 4.0, 20.0));
         }
-        evidence.observe(&draw_busy(&mut random, Side::New, engine_ms, 20.0));
-        evidence.against().is_some()
+        evidence.observe(&draw_busy(&mut random, Cohort::Canary, engine_ms, 20.0));
+        evidence.rejection().is_some()
     })
 }
 
@@ -183,12 +183,12 @@
         let mut random = ChaCha8Rng::seed_from_u64(*seed);
         let mut evidence = Evidence::new(Tolerance::default(), 3);
         for _ in 0..200 {
-            evidence.observe(&draw_busy(&mut random, Side::Old, 4.0, 10.0));
+            evidence.observe(&draw_busy(&mut random, Cohort::Baseline, 4.0, 10.0));
         }
         evidence.begin_stage(true);
         (0..300).any(|_| {
-            evidence.observe(&draw_busy(&mut random, Side::New, 4.0, 20.0));
-            evidence.against().is_some()
+            evidence.observe(&draw_busy(&mut random, Cohort::Canary, 4.0, 20.0));
+            evidence.rejection().is_some()
         })
     });
     let alarms = alarms.count();
@@ -201,12 +201,16 @@
     let mut evidence = Evidence::new(Tolerance::default(), 4);
     let against = (0..20_000).find_map(|_| {
         let new = random.random_bool(0.05);
-        let side = if new { Side::New } else { Side::Old };
+        let side = if new {
+            Cohort::Canary
+        } else {
+            Cohort::Baseline
+        };
         let mut observation = draw(&mut random, side, GOOD);
         let bad = new && &*observation.route == "GET /plots";
         observation.failed = Some(bad);
         evidence.observe(&observation);
-        evidence.against()
+        evidence.rejection()
     });
     let against = against.expect("the fault is found");
     assert!(against.contains("fails more often"), "{against}");
--- a/coordination/tests/group_outage.rs
+++ b/coordination/tests/group_outage.rs
@@ -18,7 +18,7 @@
 fn one_server_that_fails_says_nothing_of_its_group() {
     let mut groups = Groups::default();
     for step in 0..5 {
-        assert!(!groups.failed("cage-a", &name("s1"), at(100 * step)));
+        assert!(!groups.record_failure("cage-a", &name("s1"), at(100 * step)));
     }
     assert!(!groups.suspect(&"cage-a", at(450)));
 }
@@ -26,8 +26,8 @@
 #[test]
 fn two_servers_that_fail_in_short_order_put_the_group_behind() {
     let mut groups = Groups::default();
-    groups.failed("cage-a", &name("s1"), at(0));
-    assert!(groups.failed("cage-a", &name("s2"), at(150)));
+    groups.record_failure("cage-a", &name("s1"), at(0));
+    assert!(groups.record_failure("cage-a", &name("s2"), at(150)));
     assert!(groups.suspect(&"cage-a", at(200)));
     assert!(!groups.suspect(&"cage-b", at(200)));
     assert!(
@@ -39,44 +39,47 @@
 #[test]
 fn a_further_failure_renews_the_suspicion_and_an_answer_ends_it() {
     let mut groups = Groups::default();
-    groups.failed("cage-a", &name("s1"), at(0));
-    groups.failed("cage-a", &name("s2"), at(150));
-    assert!(groups.failed("cage-a", &name("s2"), at(1_300)));
+    groups.record_failure("cage-a", &name("s1"), at(0));
+    groups.record_failure("cage-a", &name("s2"), at(150));
+    assert!(groups.record_failure("cage-a", &name("s2"), at(1_300)));
     assert!(groups.suspect(&"cage-a", at(1_400)));
-    groups.answered(&"cage-a");
+    groups.record_response(&"cage-a");
     assert!(!groups.suspect(&"cage-a", at(1_400)));
-    assert!(!groups.failed("cage-a", &name("s2"), at(1_500)));
+    assert!(!groups.record_failure("cage-a", &name("s2"), at(1_500)));
 }
 
 #[test]
 fn failures_far_apart_say_nothing() {
     let mut groups = Groups::default();
-    groups.failed("cage-a", &name("s1"), at(0));
-    assert!(!groups.failed("cage-a", &name("s2"), at(2_000)));
+    groups.record_failure("cage-a", &name("s1"), at(0));
+    assert!(!groups.record_failure("cage-a", &name("s2"), at(2_000)));
 }
 
 #[test]
 fn a_server_is_lost_only_after_unanswered_questions() {
     let bounds = Bounds::default();
     let mut detector = Detector::new(bounds, at(0));
-    assert_eq!(detector.next(at(50), false), Step::Wait(bounds.quiet));
-    assert_eq!(detector.next(bounds.quiet, false), Step::Ask);
-    detector.unanswered(bounds.quiet);
-    assert_eq!(detector.next(at(180), false), Step::Ask);
-    detector.unanswered(at(180));
-    assert_eq!(detector.next(at(260), false), Step::Lost);
+    assert_eq!(
+        detector.next_step(at(50), false),
+        Step::Wait(bounds.silence_limit)
+    );
+    assert_eq!(detector.next_step(bounds.silence_limit, false), Step::Probe);
+    detector.record_failed_probe(bounds.silence_limit);
+    assert_eq!(detector.next_step(at(180), false), Step::Probe);
+    detector.record_failed_probe(at(180));
+    assert_eq!(detector.next_step(at(260), false), Step::Lost);
 }
 
 #[test]
 fn an_answer_or_an_event_between_keeps_a_server() {
     let bounds = Bounds::default();
     let mut detector = Detector::new(bounds, at(0));
-    detector.unanswered(at(100));
-    detector.heard(at(150));
-    detector.unanswered(at(140));
+    detector.record_failed_probe(at(100));
+    detector.record_activity(at(150));
+    detector.record_failed_probe(at(140));
     assert_eq!(
-        detector.next(at(200), false),
-        Step::Wait(at(150) + bounds.quiet),
+        detector.next_step(at(200), false),
+        Step::Wait(at(150) + bounds.silence_limit),
         "a question asked before the last event counts"
     );
 }
@@ -85,6 +88,6 @@
 #[test]
 fn a_silent_server_is_found_in_time_to_go_on() {
     let bounds = Bounds::default();
-    let found = bounds.quiet + bounds.answer * bounds.questions;
+    let found = bounds.silence_limit + bounds.probe_timeout * bounds.probe_limit;
     assert!(found * 2 <= at(700), "{found:?}");
 }
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -88,13 +88,13 @@
         .map(|index| Arc::from(format!("engine-{index}")))
         .collect();
     for name in names.iter().cycle().take(60) {
-        ejector.failed(Arc::clone(name), now);
+        ejector.record_failure(Arc::clone(name), now);
     }
     let ejected = names
         .iter()
         .filter(|name| ejector.ejected(name, names.len(), now))
         .count();
     assert_eq!(ejected, 3);
-    ejector.succeeded(&names[5]);
+    ejector.record_success(&names[5]);
     assert!(!ejector.ejected(&names[5], names.len(), now));
 }
--- a/coordination/tests/registry.rs
+++ b/coordination/tests/registry.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::registry::{Effect, LAPSE_GRACE, Roster, Server};
+use medlarfall_coordination::registry::{Effect, LAPSE_GRACE, Registry, Server};
 
 const NOW: Duration = Duration::from_secs(100);
 
@@ -17,7 +17,7 @@
         version: Arc::from("v1"),
         slots: 4,
         leaving: false,
-        born_ms: None,
+        started_ms: None,
     }
 }
 
@@ -28,7 +28,7 @@
     }
 }
 
-fn ready(roster: &Roster) -> Vec<String> {
+fn ready(roster: &Registry) -> Vec<String> {
     let mut ids: Vec<String> = roster
         .ready("briefs")
         .map(|server| server.id.to_string())
@@ -39,32 +39,32 @@
 
 #[test]
 fn an_older_revision_changes_nothing() {
-    let mut roster = Roster::new();
-    assert_eq!(roster.announce(leaving("a", 1), 9), Effect::Leaving);
-    assert_eq!(roster.announce(server("a", 1), 8), Effect::Stale);
+    let mut roster = Registry::new();
+    assert_eq!(roster.register(leaving("a", 1), 9), Effect::Leaving);
+    assert_eq!(roster.register(server("a", 1), 8), Effect::Stale);
     assert!(ready(&roster).is_empty(), "a server that leaves came back");
 }
 
 #[test]
 fn a_server_removed_in_order_is_gone_at_once_and_stays_gone() {
-    let mut roster = Roster::new();
-    roster.announce(server("a", 1), 5);
+    let mut roster = Registry::new();
+    roster.register(server("a", 1), 5);
     assert_eq!(roster.remove("a", 7, NOW), Effect::Gone);
-    assert_eq!(roster.announce(server("a", 1), 6), Effect::Stale);
+    assert_eq!(roster.register(server("a", 1), 6), Effect::Stale);
     assert!(ready(&roster).is_empty());
 }
 
 #[test]
 fn an_entry_that_lapsed_in_an_outage_is_kept_until_the_grace_after_it() {
-    let mut roster = Roster::new();
-    roster.announce(server("a", 1), 5);
-    roster.announce(server("b", 2), 6);
-    roster.keeper_lost();
+    let mut roster = Registry::new();
+    roster.register(server("a", 1), 5);
+    roster.register(server("b", 2), 6);
+    roster.store_lost();
     assert_eq!(roster.remove("a", 7, NOW), Effect::Lapsed);
-    roster.keeper_answered(NOW);
+    roster.store_responded(NOW);
     assert_eq!(roster.remove("b", 8, NOW), Effect::Lapsed);
     assert_eq!(ready(&roster), ["a", "b"]);
-    roster.announce(server("b", 2), 9);
+    roster.register(server("b", 2), 9);
     assert!(roster.expire(NOW + LAPSE_GRACE / 2).is_empty());
     assert_eq!(roster.expire(NOW + LAPSE_GRACE), [Arc::from("a")]);
     assert_eq!(ready(&roster), ["b"]);
@@ -72,53 +72,53 @@
 
 #[test]
 fn a_server_that_was_leaving_is_not_kept_in_an_outage() {
-    let mut roster = Roster::new();
-    roster.announce(leaving("a", 1), 5);
-    roster.keeper_lost();
+    let mut roster = Registry::new();
+    roster.register(leaving("a", 1), 5);
+    roster.store_lost();
     assert_eq!(roster.remove("a", 7, NOW), Effect::Gone);
 }
 
 #[test]
 fn the_next_start_at_an_address_ends_the_one_before() {
-    let mut roster = Roster::new();
-    roster.announce(server("a", 1), 5);
-    roster.announce(server("b", 1), 6);
+    let mut roster = Registry::new();
+    roster.register(server("a", 1), 5);
+    roster.register(server("b", 1), 6);
     assert_eq!(ready(&roster), ["b"]);
-    assert_eq!(roster.announce(server("a", 1), 5), Effect::Stale);
+    assert_eq!(roster.register(server("a", 1), 5), Effect::Stale);
     assert_eq!(ready(&roster), ["b"], "the dead server's entry came back");
 }
 
 #[test]
 fn of_two_starts_at_an_address_the_later_birth_holds() {
     let born = |id: &str, born_ms| Server {
-        born_ms: Some(born_ms),
+        started_ms: Some(born_ms),
         ..server(id, 1)
     };
-    let mut roster = Roster::new();
-    roster.announce(born("new", 2_000), 5);
-    assert_eq!(roster.announce(born("old", 1_000), 6), Effect::Stale);
+    let mut roster = Registry::new();
+    roster.register(born("new", 2_000), 5);
+    assert_eq!(roster.register(born("old", 1_000), 6), Effect::Stale);
     assert_eq!(ready(&roster), ["new"]);
 }
 
 #[test]
 fn a_list_removes_what_it_no_longer_names() {
-    let mut roster = Roster::new();
-    roster.announce(server("a", 1), 5);
-    roster.announce(server("b", 2), 6);
-    roster.announce(server("c", 3), 9);
+    let mut roster = Registry::new();
+    roster.register(server("a", 1), 5);
+    roster.register(server("b", 2), 6);
+    roster.register(server("c", 3), 9);
     roster.retain(&HashSet::from([Arc::from("a")]), 8, NOW);
     assert_eq!(ready(&roster), ["a", "c"], "c is newer than the list");
 }
 
 #[test]
 fn a_server_found_in_an_outage_is_used_and_dropped_unless_it_announces_itself() {
-    let mut roster = Roster::new();
-    roster.announce(server("a", 1), 5);
-    roster.keeper_lost();
+    let mut roster = Registry::new();
+    roster.register(server("a", 1), 5);
+    roster.store_lost();
     assert_eq!(roster.adopt(server("b", 1)), Effect::Joined);
     assert_eq!(roster.adopt(server("b", 1)), Effect::Stale);
     assert_eq!(ready(&roster), ["b"]);
-    roster.keeper_answered(NOW);
+    roster.store_responded(NOW);
     roster.expire(NOW + LAPSE_GRACE);
     assert!(ready(&roster).is_empty());
 }
@@ -129,7 +129,7 @@
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool)>>()
         .for_each(|changes| {
-            let mut roster = Roster::new();
+            let mut roster = Registry::new();
             let mut newest = [(0_u64, false); 4];
             for (id, revision, removed) in changes {
                 let index = usize::from(*id % 4);
@@ -139,7 +139,7 @@
                 if *removed {
                     roster.remove(&name, revision, NOW);
                 } else {
-                    roster.announce(server(&name, port), revision);
+                    roster.register(server(&name, port), revision);
                 }
                 let (seen, gone) = &mut newest[index];
                 if revision > *seen {
--- a/coordination/tests/retry_budget.rs
+++ b/coordination/tests/retry_budget.rs
@@ -22,7 +22,7 @@
             if *retry {
                 retries += u32::from(budget.withdraw());
             } else {
-                budget.succeeded();
+                budget.record_success();
                 successes += 1;
             }
             let allowed = policy.reserve + policy.share * f64::from(successes);
@@ -40,7 +40,7 @@
     };
     let mut budget = Budget::new(policy);
     for _ in 0..100 {
-        budget.succeeded();
+        budget.record_success();
     }
     let taken = (0..100).filter(|_| budget.withdraw()).count();
     assert_eq!(taken, 5);
@@ -184,7 +184,7 @@
             let usage = self.windows[peer].usage(now);
             for (entry, others) in self.others.iter_mut().enumerate() {
                 if entry != peer {
-                    others.told(&self.names[peer], usage, now);
+                    others.record(&self.names[peer], usage, now);
                 }
             }
         }
--- a/coordination/tests/rollout.rs
+++ b/coordination/tests/rollout.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bolero::{TypeGenerator, check};
-use medlarfall_coordination::rollout::{Phase, Record, WHOLE};
+use medlarfall_coordination::rollout::{FULL_SHARE, Phase, Record};
 use medlarfall_coordination::schedule::{Decision, Plan, Progress};
 
 #[derive(Clone, Copy, Debug, TypeGenerator)]
@@ -75,7 +75,7 @@
         let mut end: Option<Phase> = None;
         let mut braked = [false, false];
         let write = |stored: &mut Record, proposed: Record| {
-            if let Some(next) = proposed.over(stored) {
+            if let Some(next) = proposed.replacement_for(stored) {
                 *stored = next;
             }
         };
@@ -129,13 +129,13 @@
             let count = (0..requests).filter(|id| moved(record, *id)).count() as u64;
             let share = record.share();
             // Five standard deviations around the share, rounded up.
-            let slack = 5 * (requests * share / WHOLE).isqrt() + 5;
+            let slack = 5 * (requests * share / FULL_SHARE).isqrt() + 5;
             assert!(
-                count <= requests * share / WHOLE + slack,
+                count <= requests * share / FULL_SHARE + slack,
                 "{count} at {share}"
             );
             assert!(
-                count + slack >= requests * share / WHOLE,
+                count + slack >= requests * share / FULL_SHARE,
                 "{count} at {share}"
             );
             let lost = (0..requests)
@@ -169,12 +169,12 @@
                 let progress = Progress {
                     stage,
                     in_stage: now.saturating_sub(began),
-                    left: within.saturating_sub(now),
+                    remaining: within.saturating_sub(now),
                     requests: if *proved { 10 } else { 9 },
                     suspect: false,
                 };
                 match plan.decide(progress) {
-                    Decision::Return => return,
+                    Decision::TakeBack => return,
                     Decision::Stay => assert!(now < within, "a move outlives its deadline"),
                     Decision::Advance => {
                         assert!(*proved, "a stage needs its evidence");
@@ -201,11 +201,15 @@
             let decision = plan.decide(Progress {
                 stage,
                 in_stage: now.saturating_sub(began),
-                left: within.saturating_sub(now),
+                remaining: within.saturating_sub(now),
                 requests: 10,
                 suspect: false,
             });
-            assert_ne!(decision, Decision::Return, "{within_ms} ms, stage {stage}");
+            assert_ne!(
+                decision,
+                Decision::TakeBack,
+                "{within_ms} ms, stage {stage}"
+            );
             if decision == Decision::Advance {
                 (stage, began) = (stage + 1, now);
             } else {
--- a/coordination/tests/updates.rs
+++ b/coordination/tests/updates.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use medlarfall_coordination::updates::{FRESH, Tidings, pause};
+use medlarfall_coordination::updates::{FRESH, Updates, pause};
 
 /// Entries of a failure domain in a large fleet.
 const PEERS: usize = 20;
@@ -15,37 +15,37 @@
 
 #[test]
 fn what_is_new_is_told_at_once_and_again_while_it_is_fresh() {
-    let mut tidings = Tidings::default();
+    let mut tidings = Updates::default();
     tidings.insert("a", START);
-    assert_eq!(tidings.tell(false, START), ["a"]);
-    assert!(tidings.tell(false, START + CHANGE).is_empty());
+    assert_eq!(tidings.next_batch(false, START), ["a"]);
+    assert!(tidings.next_batch(false, START + CHANGE).is_empty());
     tidings.insert("b", START + CHANGE);
-    assert_eq!(tidings.tell(false, START + CHANGE), ["a", "b"]);
+    assert_eq!(tidings.next_batch(false, START + CHANGE), ["a", "b"]);
     let later = START + Duration::from_millis(300);
-    assert_eq!(tidings.tell(false, later), ["a", "b"]);
+    assert_eq!(tidings.next_batch(false, later), ["a", "b"]);
     let old = START + FRESH + CHANGE;
-    assert!(tidings.tell(false, old).is_empty());
-    assert_eq!(tidings.tell(true, old), ["a", "b"]);
+    assert!(tidings.next_batch(false, old).is_empty());
+    assert_eq!(tidings.next_batch(true, old), ["a", "b"]);
 }
 
 #[test]
 fn what_others_told_is_passed_on_only_to_everyone() {
-    let mut tidings = Tidings::default();
-    tidings.insert_heard("a");
-    assert!(!tidings.untold());
-    assert!(tidings.tell(false, START).is_empty());
-    assert_eq!(tidings.tell(true, START), ["a"]);
+    let mut tidings = Updates::default();
+    tidings.insert_received("a");
+    assert!(!tidings.has_unsent());
+    assert!(tidings.next_batch(false, START).is_empty());
+    assert_eq!(tidings.next_batch(true, START), ["a"]);
 }
 
 #[test]
 fn what_is_lost_again_is_told_again() {
-    let mut tidings = Tidings::default();
+    let mut tidings = Updates::default();
     tidings.insert("a", START);
-    assert_eq!(tidings.tell(false, START), ["a"]);
+    assert_eq!(tidings.next_batch(false, START), ["a"]);
     let again = START + FRESH * 2;
     tidings.insert("a", again);
-    assert!(tidings.untold());
-    assert_eq!(tidings.tell(false, again), ["a"]);
+    assert!(tidings.has_unsent());
+    assert_eq!(tidings.next_batch(false, again), ["a"]);
 }
 
 /// Plays an outage of the store in which 60 servers are found anew by an entry whose streams
@@ -54,13 +54,13 @@
 fn an_outage_leaves_most_of_a_narrow_link_to_requests() {
     const FIND_BYTES: usize = 70;
     const LINK_MBPS: u32 = 10;
-    let mut tidings = Tidings::default();
+    let mut tidings = Updates::default();
     for server in 0..60 {
         tidings.insert(server, START);
     }
     let (mut now, mut bytes) = (START, 0);
     while now < START + Duration::from_secs(4) {
-        let message = 300 + FIND_BYTES * tidings.tell(false, now).len();
+        let message = 300 + FIND_BYTES * tidings.next_batch(false, now).len();
         bytes += message * PEERS;
         now += CHANGE.max(pause(message, PEERS, LINK_MBPS));
     }
--- a/relay/src/attempt.rs
+++ b/relay/src/attempt.rs
@@ -78,7 +78,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         self.backend
-            .load(medlarfall_coordination::balance::Load::ended);
+            .load(medlarfall_coordination::balance::Load::request_ended);
     }
 }
 
@@ -152,7 +152,7 @@
         relay.unreachable(backend);
         Failure::NotSent { reason }
     })?;
-    backend.load(medlarfall_coordination::balance::Load::started);
+    backend.load(medlarfall_coordination::balance::Load::request_started);
     let guard = Guard {
         backend: Arc::clone(backend),
         _connection: connection,
@@ -163,7 +163,7 @@
     *request.headers_mut() = relay.dialect.headers(&original.headers, send);
     let response = sender.send_request(request).await.map_err(|error| {
         let now = relay.clock.now();
-        backend.load(|load| load.outcome(true, now));
+        backend.load(|load| load.record_outcome(true, now));
         let reason = error.to_string();
         Failure::Lost { reason }
     })?;
@@ -171,14 +171,14 @@
     let reply = relay.dialect.reply(&original.request_id, &parts);
     let now = relay.clock.now();
     if let Some(requests) = reply.requests {
-        backend.load(|load| load.reported(requests, now));
+        backend.load(|load| load.record_report(requests, now));
     }
     if reply.not_run {
         let status = parts.status.as_u16();
         match status {
             // Another server has the address now.
             421 => relay.unreachable(backend),
-            _ => backend.load(|load| load.outcome(true, now)),
+            _ => backend.load(|load| load.record_outcome(true, now)),
         }
         return Err(Failure::NotRun {
             status,
@@ -186,12 +186,12 @@
         });
     }
     if !reply.matches || (parts.status.is_success() && !reply.signed) {
-        backend.load(|load| load.outcome(true, now));
+        backend.load(|load| load.record_outcome(true, now));
         return Err(Failure::Lost {
             reason: "the answer is to another request, or of no server".to_owned(),
         });
     }
-    backend.load(|load| load.outcome(parts.status.is_server_error(), now));
+    backend.load(|load| load.record_outcome(parts.status.is_server_error(), now));
     relay.answered(backend);
     Ok(Answer {
         response: Response::from_parts(parts, body),
--- a/relay/src/call.rs
+++ b/relay/src/call.rs
@@ -271,7 +271,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
             let now = relay.clock.now();
-            backend.load(|load| load.outcome(true, now));
+            backend.load(|load| load.record_outcome(true, now));
             Failure::Lost {
                 reason: error.to_string(),
             }
--- a/relay/src/exchange.rs
+++ b/relay/src/exchange.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::canary;
-use medlarfall_coordination::reader_election::READER_TELLS;
+use medlarfall_coordination::reader_election::READER_ANNOUNCE_INTERVAL;
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
 use medlarfall_coordination::updates;
@@ -159,7 +159,15 @@
     let counts: HashMap<Arc<str>, Count> = message
         .streams
         .into_iter()
-        .map(|(server, runs, reading)| (server, Count { runs, reading }))
+        .map(|(server, runs, reading)| {
+            (
+                server,
+                Count {
+                    streams: runs,
+                    prefilling: reading,
+                },
+            )
+        })
         .collect();
     relay.peer_told(message.entry, counts);
 }
@@ -189,7 +197,7 @@
         let moving = relay.moving();
         let longest = match (relay.has_repeated(), reads || moving) {
             (true, _) => REPEATS_TOLD,
-            (false, true) => READER_TELLS,
+            (false, true) => READER_ANNOUNCE_INTERVAL,
             (false, false) => LONGEST,
         };
         tokio::select! {
--- a/relay/src/follow.rs
+++ b/relay/src/follow.rs
@@ -193,7 +193,7 @@
             let order = order.map(|(version, lasts)| Order {
                 version,
                 revision,
-                lasts,
+                duration: lasts,
             });
             relay.order_move(&service, order);
         }
--- a/relay/src/intake.rs
+++ b/relay/src/intake.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HOST, HeaderValue, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Request, Response, Uri};
-use medlarfall_coordination::evidence::Side;
+use medlarfall_coordination::evidence::Cohort;
 use medlarfall_coordination::routing::{Account, Route, Table};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -49,7 +49,7 @@
     /// Service that takes it.
     pub service: Arc<str>,
     /// Version that it goes to, if the service moves.
-    pub side: Option<Side>,
+    pub side: Option<Cohort>,
     /// When its head came.
     pub began: Duration,
     /// When its answer must have come.
@@ -89,7 +89,7 @@
     let id = caller.as_ref().ok();
     let id = id.map(|caller| Arc::clone(&caller.request_id));
     let mut response = match take(&relay, request, caller, began).await {
-        Ok(job) if job.route.kind.streams() => stream::answer(&relay, job).await,
+        Ok(job) if job.route.kind.is_stream() => stream::answer(&relay, job).await,
         Ok(job) => call::answer(&relay, job).await,
         Err(refusal) => {
             refused(&relay, &refusal, id.as_deref().unwrap_or(""));
@@ -182,7 +182,7 @@
 
 /// Returns how long a request of a route usually lasts at most.
 fn usual_time(route: &Route) -> Duration {
-    if route.kind.streams() {
+    if route.kind.is_stream() {
         STREAM_TIME
     } else {
         route.timeout
--- a/relay/src/monitor.rs
+++ b/relay/src/monitor.rs
@@ -58,7 +58,7 @@
     pub fn heard(&self, now: Duration) {
         self.with(|watched| {
             if let Some(watched) = watched {
-                watched.detector.heard(now);
+                watched.detector.record_activity(now);
             }
         });
     }
@@ -75,7 +75,7 @@
                 *slot = None;
                 return None;
             }
-            let step = watched.detector.next(now, reading);
+            let step = watched.detector.next_step(now, reading);
             if step == Step::Lost {
                 watched.lost.send_replace(true);
                 *slot = None;
@@ -88,7 +88,7 @@
     fn unanswered(&self, asked_at: Duration) {
         self.with(|watched| {
             if let Some(watched) = watched {
-                watched.detector.unanswered(asked_at);
+                watched.detector.record_failed_probe(asked_at);
             }
         });
     }
@@ -119,13 +119,13 @@
 /// Drives the detector of one server until its last stream has left or it is lost.
 async fn run<D: Dialect>(relay: Arc<Relay<D>>, backend: Arc<Backend>) {
     let step = || {
-        let reading = backend.load(|load| load.only_reads());
+        let reading = backend.load(|load| load.only_prefilling());
         backend.monitor.step(relay.clock.now(), reading)
     };
     while let Some(step) = step() {
         match step {
             Step::Wait(until) => tokio::time::sleep_until(relay.clock.instant(until)).await,
-            Step::Ask => ask(&relay, &backend).await,
+            Step::Probe => ask(&relay, &backend).await,
             Step::Lost => {
                 relay.unreachable(&backend);
                 relay.metrics.servers_lost.inc();
@@ -142,14 +142,14 @@
 /// Asks a server for its report.
 async fn ask<D: Dialect>(relay: &Relay<D>, backend: &Arc<Backend>) {
     let asked_at = relay.clock.now();
-    let wait = relay.settings.liveness.answer;
+    let wait = relay.settings.liveness.probe_timeout;
     let answer = attempt::report(relay, backend.server.address);
     let answer = tokio::time::timeout(wait, answer).await;
     let now = relay.clock.now();
     match answer {
         Ok(Ok(report)) if same_start(backend, &report) => {
             relay.answered(backend);
-            backend.load(|load| load.reported(report.requests, now));
+            backend.load(|load| load.record_report(report.requests, now));
         }
         // The connection was refused, or another start of the server answered: no need to wait.
         Ok(_) => {
@@ -162,7 +162,7 @@
 
 /// Returns whether a report is by the start of the server that the streams run at.
 fn same_start(backend: &Backend, report: &Report) -> bool {
-    match (backend.server.born_ms, report.born_ms) {
+    match (backend.server.started_ms, report.born_ms) {
         (Some(known), Some(told)) => known == told,
         _ => true,
     }
--- a/relay/src/state/backend.rs
+++ b/relay/src/state/backend.rs
@@ -102,7 +102,7 @@
             proximity: self.proximity,
             requests: requests(load),
             slots: self.server.slots,
-            faults: load.faults(),
+            failure_rate: load.failure_rate(),
             suspect: load.suspect(now),
         })
     }
--- a/relay/src/state/beliefs.rs
+++ b/relay/src/state/beliefs.rs
@@ -2,12 +2,12 @@
 
 use medlarfall_coordination::canary::Canary;
 use medlarfall_coordination::group_outage::Groups;
-use medlarfall_coordination::reader_election::Readers;
-use medlarfall_coordination::registry::Roster;
+use medlarfall_coordination::reader_election::Election;
+use medlarfall_coordination::registry::Registry;
 use medlarfall_coordination::retry_budget::{Bounds, Others, Window};
 use medlarfall_coordination::routing::Table;
 use medlarfall_coordination::shared_load;
-use medlarfall_coordination::updates::Tidings;
+use medlarfall_coordination::updates::Updates;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     pub(super) table_at: Duration,
     /// When the list of servers was last known to be whole.
     pub(super) servers_at: Duration,
-    pub(super) roster: Roster,
+    pub(super) roster: Registry,
     pub(super) backends: HashMap<Arc<str>, Vec<Arc<Backend>>>,
     pub(super) retries: HashMap<Arc<str>, Window>,
     /// What the other entries repeated, by service.
@@ -47,13 +47,13 @@
     pub(super) cold: HashMap<Arc<str>, Duration>,
     pub(super) groups: Groups<Group>,
     pub(super) peers: HashMap<Arc<str>, Peer>,
-    pub(super) readers: Option<Readers>,
+    pub(super) readers: Option<Election>,
     pub(super) shared: shared_load::Table,
     pub(super) to_search: Vec<Arc<Backend>>,
     /// Servers that were found in place of others while the store is away.
-    pub(super) found: Tidings<Found>,
+    pub(super) found: Updates<Found>,
     /// Servers that this entry could not reach lately.
-    pub(super) lost: Tidings<Arc<str>>,
+    pub(super) lost: Updates<Arc<str>>,
 }
 
 /// Another entry.
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::canary::{Canary, Order, Report, Verdict};
-use medlarfall_coordination::evidence::{Observation, Side};
+use medlarfall_coordination::evidence::{Cohort, Observation};
 use medlarfall_coordination::placement::name_hash;
 
 use crate::dialect::Dialect;
@@ -70,7 +70,7 @@
         }
         log::info!(
             service = &**service, version = &*order.version, revision = order.revision,
-            lasts_ms = order.lasts.as_millis(), given_now;
+            lasts_ms = order.duration.as_millis(), given_now;
             "a move is ordered"
         );
         self.moves_changed.notify_one();
@@ -96,23 +96,23 @@
 
     /// Counts a new request and returns the version it goes to, if its service moves.
     #[must_use]
-    pub fn side(&self, service: &Arc<str>) -> Option<Side> {
+    pub fn side(&self, service: &Arc<str>) -> Option<Cohort> {
         let now = self.clock.now();
         let mut side = None;
         self.with_canary(service, |canary, beliefs| {
             let entries = u32::try_from(beliefs.peers.len() + 1).unwrap_or(u32::MAX);
-            side = canary.side(entries, now);
+            side = canary.assign(entries, now);
         });
         side
     }
 
     /// Returns the version that a repeat of a request goes to, if its service moves.
     #[must_use]
-    pub fn repeat_side(&self, service: &Arc<str>) -> Option<Side> {
+    pub fn repeat_side(&self, service: &Arc<str>) -> Option<Cohort> {
         let now = self.clock.now();
         self.beliefs(|beliefs| {
             let canary = beliefs.canaries.get(service);
-            canary.and_then(|canary| canary.repeat_side(now))
+            canary.and_then(|canary| canary.assign_retry(now))
         })
     }
 
@@ -122,15 +122,15 @@
         let server = &backend.server;
         self.with_canary(&server.service, |canary, beliefs| {
             let side = if canary.order().version == server.version {
-                Side::New
+                Cohort::Canary
             } else {
-                Side::Old
+                Cohort::Baseline
             };
             // A server is slow for a while after its start, whatever its version.
             let cold = beliefs.cold.get(&server.id).is_some_and(|end| now < *end);
             let time = |time: Option<Duration>| time.filter(|_| !cold);
             let observation = Observation {
-                side,
+                cohort: side,
                 route: Arc::clone(route),
                 failed: sight.failed,
                 first: time(sight.first),
@@ -166,7 +166,7 @@
     pub fn hear_moves(&self, peer: &Arc<str>, reports: Vec<(Arc<str>, Report)>) {
         let now = self.clock.now();
         for (service, report) in reports {
-            self.with_canary(&service, |canary, _| canary.hear(peer, report, now));
+            self.with_canary(&service, |canary, _| canary.receive(peer, report, now));
         }
     }
 
@@ -180,7 +180,7 @@
         });
         for service in &open {
             self.with_canary(service, |canary, _| {
-                canary.judge(now);
+                canary.conclude(now);
             });
         }
         !open.is_empty()
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use medlarfall_coordination::reader_election::Readers;
+use medlarfall_coordination::reader_election::Election;
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
 
@@ -31,8 +31,8 @@
     pub fn lost_to_tell(&self, everyone: bool) -> Vec<Arc<str>> {
         let now = self.clock.now();
         self.beliefs(|beliefs| {
-            beliefs.lost.forget_old(now);
-            beliefs.lost.tell(everyone, now)
+            beliefs.lost.remove_expired(now);
+            beliefs.lost.next_batch(everyone, now)
         })
     }
 
@@ -45,7 +45,7 @@
         let now = self.clock.now();
         self.beliefs(|beliefs| {
             for backend in beliefs.backends.values().flatten() {
-                let silent = || backend.load(|load| load.told_unreachable(now));
+                let silent = || backend.load(|load| load.record_peer_unreachable(now));
                 if lost.contains(&backend.server.id) && silent() {
                     backend.set_doubted(true);
                     beliefs.to_search.push(Arc::clone(backend));
@@ -79,7 +79,7 @@
         self.beliefs(|beliefs| {
             for (service, usage) in used {
                 let others = beliefs.others_retries.entry(Arc::clone(service));
-                others.or_default().told(peer, *usage, now);
+                others.or_default().record(peer, *usage, now);
             }
         });
     }
@@ -87,7 +87,7 @@
     /// Returns whether this entry has found servers that it has not told of.
     #[must_use]
     pub fn has_found(&self) -> bool {
-        self.beliefs(|beliefs| beliefs.found.untold())
+        self.beliefs(|beliefs| beliefs.found.has_unsent())
     }
 
     /// Returns the servers that were found while the store is away, as far as they are to be told
@@ -96,10 +96,10 @@
     pub fn found_to_tell(&self, everyone: bool) -> Vec<Found> {
         let now = self.clock.now();
         self.beliefs(|beliefs| {
-            if beliefs.roster.keeper_answers() {
+            if beliefs.roster.store_available() {
                 beliefs.found.clear();
             }
-            beliefs.found.tell(everyone, now)
+            beliefs.found.next_batch(everyone, now)
         })
     }
 
@@ -159,9 +159,9 @@
                 peer.link_mbps = Some(link_mbps);
             }
             let own = &self.settings;
-            let unheard = || Readers::new(&own.entry, own.link_mbps);
+            let unheard = || Election::new(&own.entry, own.link_mbps);
             let readers = beliefs.readers.get_or_insert_with(unheard);
-            readers.told(name, link_mbps, reads, now);
+            readers.record(name, link_mbps, reads, now);
         });
     }
 
@@ -206,7 +206,7 @@
     /// Takes in what another entry has at each server.
     pub fn peer_told(&self, peer: Arc<str>, counts: HashMap<Arc<str>, Count>) {
         let now = self.clock.now();
-        self.beliefs(|beliefs| beliefs.shared.told(peer, counts, now));
+        self.beliefs(|beliefs| beliefs.shared.record(peer, counts, now));
     }
 
     /// Returns the streams of this entry at each server: all, and those whose prompt is read.
@@ -220,7 +220,7 @@
                 let count = backend.load(|load| load.streams());
                 let streams = backend.streams.load(Ordering::Relaxed);
                 let id = Arc::clone(&backend.server.id);
-                (streams > 0).then_some((id, count.runs, count.reading))
+                (streams > 0).then_some((id, count.streams, count.prefilling))
             });
             counted.collect()
         })
--- a/relay/src/state/placing.rs
+++ b/relay/src/state/placing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::balance::{self, Candidate};
-use medlarfall_coordination::evidence::Side;
+use medlarfall_coordination::evidence::Cohort;
 
 use crate::dialect::Dialect;
 
@@ -40,7 +40,7 @@
     /// How load is counted.
     pub measure: Measure,
     /// Version to prefer, if the service moves.
-    pub side: Option<Side>,
+    pub side: Option<Cohort>,
     /// The only version to choose from, if the service moves.
     pub version: Option<&'request str>,
     /// Breaks ties.
@@ -52,12 +52,12 @@
     /// others of its group if they can't be reached either.
     pub fn unreachable(&self, backend: &Arc<Backend>) {
         let now = self.clock.now();
-        backend.load(|load| load.unreachable(now));
+        backend.load(|load| load.record_unreachable(now));
         backend.set_doubted(true);
         let id = &backend.server.id;
         let group = backend.group();
         let suspect = self.beliefs(|beliefs| {
-            let suspect = beliefs.groups.failed(group.clone(), id, now);
+            let suspect = beliefs.groups.record_failure(group.clone(), id, now);
             beliefs.to_search.push(Arc::clone(backend));
             beliefs.lost.insert(Arc::clone(id), now);
             if suspect {
@@ -91,7 +91,7 @@
         backend.monitor.heard(now);
         backend.set_doubted(false);
         let group = backend.group();
-        self.beliefs(|beliefs| beliefs.groups.answered(&group));
+        self.beliefs(|beliefs| beliefs.groups.record_response(&group));
     }
 
     /// Returns the servers of a service that are not suspect and probably took a request with the
@@ -105,7 +105,7 @@
             usable.cloned().collect()
         });
         let places = usable.iter().map(|backend| backend.place());
-        let likely = balance::likely(&places.collect::<Vec<_>>(), lot, count);
+        let likely = balance::likely_servers(&places.collect::<Vec<_>>(), lot, count);
         let likely = likely.into_iter().map(|index| Arc::clone(&usable[index]));
         likely.collect()
     }
@@ -118,12 +118,14 @@
             let backends = beliefs.backends.get(wanted.service)?;
             let moves_to = beliefs.canaries.get(wanted.service);
             let moves_to = moves_to.map(|canary| Arc::clone(&canary.order().version));
-            let allowed = |backend: &&Arc<Backend>, side: Option<Side>| {
+            let allowed = |backend: &&Arc<Backend>, side: Option<Cohort>| {
                 let version = &backend.server.version;
                 let fits = match (&moves_to, side, wanted.version) {
                     (None, ..) | (Some(_), None, None) => true,
                     (Some(_), _, Some(only)) => **version == *only,
-                    (Some(target), Some(side), _) => (version == target) == (side == Side::New),
+                    (Some(target), Some(side), _) => {
+                        (version == target) == (side == Cohort::Canary)
+                    }
                 };
                 fits && !wanted.not.contains(&backend.server.id)
             };
@@ -134,7 +136,7 @@
                     .any(|backend| allowed(&backend, wanted.side))
             };
             let side = match wanted.side {
-                Some(Side::New) if !new_serves() => Some(Side::Old),
+                Some(Cohort::Canary) if !new_serves() => Some(Cohort::Baseline),
                 side => side,
             };
             let fits = |backend: &&Arc<Backend>| allowed(backend, side);
--- a/relay/src/state/servers.rs
+++ b/relay/src/state/servers.rs
@@ -21,7 +21,7 @@
             if !cold.is_zero() {
                 beliefs.cold.insert(Arc::clone(&id), now + cold);
             }
-            let effect = beliefs.roster.announce(server, revision);
+            let effect = beliefs.roster.register(server, revision);
             if effect != Effect::Stale {
                 beliefs.forget_unlisted();
                 beliefs.refresh(&self.settings, &id);
@@ -57,9 +57,9 @@
         let now = self.clock.now();
         let expired = self.beliefs(|beliefs| {
             if answers {
-                beliefs.roster.keeper_answered(now);
+                beliefs.roster.store_responded(now);
             } else {
-                beliefs.roster.keeper_lost();
+                beliefs.roster.store_lost();
             }
             let expired = beliefs.roster.expire(now);
             for id in &expired {
@@ -92,7 +92,7 @@
         let server = Server {
             id: Arc::clone(id),
             leaving: false,
-            born_ms,
+            started_ms: born_ms,
             ..gone.clone()
         };
         let effect = self.beliefs(|beliefs| {
@@ -104,7 +104,7 @@
             };
             match effect {
                 Effect::Stale => {}
-                _ if heard => beliefs.found.insert_heard(found),
+                _ if heard => beliefs.found.insert_received(found),
                 _ => beliefs.found.insert(found, now),
             }
             beliefs.forget_unlisted();
@@ -132,7 +132,7 @@
     /// Returns whether the store answers.
     #[must_use]
     pub fn store_up(&self) -> bool {
-        self.beliefs(|beliefs| beliefs.roster.keeper_answers())
+        self.beliefs(|beliefs| beliefs.roster.store_available())
     }
 
     /// Returns whether a server is still as it was when it was chosen: it neither leaves, nor has
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -317,7 +317,7 @@
         log::info!(
             request = &*self.job.original.request_id, server = &*backend.server.id,
             failure_domain = &*backend.server.failure_domain,
-            load = self.relay.stream_load(backend), own = backend.load(|load| load.own()),
+            load = self.relay.stream_load(backend), own = backend.load(|load| load.own_requests()),
             backup = backup.as_ref().map_or("", |backup| &*backup.server.id),
             copy = send.copy.as_ref().map_or("", |copy| &*copy.handle),
             last_event = self.last_event.unwrap_or(0);
--- a/relay/src/stream/passing.rs
+++ b/relay/src/stream/passing.rs
@@ -191,7 +191,7 @@
         let mut heard = Instant::now();
         loop {
             let bound = if self.begun {
-                self.relay.settings.liveness.stream * 2_u32.pow(self.silences.min(3))
+                self.relay.settings.liveness.stream_silence_limit * 2_u32.pow(self.silences.min(3))
             } else {
                 FIRST_EVENT
             };
@@ -257,7 +257,7 @@
         } else {
             self.longest_pause = self.longest_pause.max(pause);
         }
-        if self.resumes > 0 && pause > self.relay.settings.liveness.quiet {
+        if self.resumes > 0 && pause > self.relay.settings.liveness.silence_limit {
             self.relay.metrics.resume_gap.observe(pause.as_secs_f64());
         }
         self.last_event_at = now;
--- a/relay/src/stream/place.rs
+++ b/relay/src/stream/place.rs
@@ -19,7 +19,7 @@
     /// Counts a stream at `backend`, whose prompt is to be read there unless the server has it.
     pub fn take(relay: &Arc<Relay<D>>, backend: &Arc<Backend>, reading: bool) -> Self {
         if reading {
-            backend.load(Load::reading_started);
+            backend.load(Load::prefill_started);
         }
         backend.streams.fetch_add(1, Ordering::Relaxed);
         relay.streams_changed.notify_one();
@@ -33,7 +33,7 @@
     /// Notes that the prompt has been read.
     pub fn read(&mut self) {
         if std::mem::take(&mut self.reading) {
-            self.backend.load(Load::reading_ended);
+            self.backend.load(Load::prefill_ended);
             self.relay.streams_changed.notify_one();
         }
     }
--- a/serving/src/configs/moves.rs
+++ b/serving/src/configs/moves.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::evidence::Tolerance;
-use medlarfall_coordination::rollout::WHOLE;
+use medlarfall_coordination::rollout::FULL_SHARE;
 use medlarfall_coordination::schedule::Plan;
 use medlarfall_schema::settings as raw;
 
@@ -81,7 +81,7 @@
         return Ok(default);
     }
     let grows = shares.windows(2).all(|pair| pair[0] < pair[1]);
-    if !grows || shares[0] == 0 || shares.last() != Some(&WHOLE) {
+    if !grows || shares[0] == 0 || shares.last() != Some(&FULL_SHARE) {
         return Err(value::invalid(
             "moves.shares",
             &format!("{shares:?}"),
--- a/serving/src/modules/admission/state.rs
+++ b/serving/src/modules/admission/state.rs
@@ -271,8 +271,8 @@
             return;
         };
         match outcome {
-            Outcome::Answered => pool.ejector.succeeded(&server.name),
-            Outcome::Failed => pool.ejector.failed(Arc::clone(&server.name), now),
+            Outcome::Answered => pool.ejector.record_success(&server.name),
+            Outcome::Failed => pool.ejector.record_failure(Arc::clone(&server.name), now),
         }
     }
 }
--- a/serving/src/modules/calls.rs
+++ b/serving/src/modules/calls.rs
@@ -170,7 +170,7 @@
 
     /// Counts a success of a service.
     fn succeeded(&self, service: &str) {
-        self.lock().budget(service, self.policy).succeeded();
+        self.lock().budget(service, self.policy).record_success();
     }
 
     /// Returns the pause before retry number `retry` of a call, or nothing if there shall be none.
--- a/serving/src/modules/generation/watch.rs
+++ b/serving/src/modules/generation/watch.rs
@@ -34,9 +34,9 @@
         };
         let now = Instant::now();
         Self {
-            bound: lock(detector).bound(&subject, Phase::First),
+            bound: lock(detector).bound(&subject, Phase::FirstToken),
             subject,
-            phase: Phase::First,
+            phase: Phase::FirstToken,
             started: now,
             since: now,
             gaps: Vec::new(),
@@ -50,7 +50,7 @@
 
     /// Returns whether the first token is still awaited, for less than `limit` so far.
     pub(super) fn may_extend(&self, limit: Duration) -> bool {
-        self.phase == Phase::First && self.started.elapsed() < limit
+        self.phase == Phase::FirstToken && self.started.elapsed() < limit
     }
 
     /// Waits once more as long.
@@ -63,12 +63,12 @@
         let now = Instant::now();
         let gap = now - self.since;
         match self.phase {
-            Phase::First => {
-                lock(detector).observe(&self.subject, Phase::First, now - self.started);
-                self.phase = Phase::Between;
-                self.bound = lock(detector).bound(&self.subject, Phase::Between);
+            Phase::FirstToken => {
+                lock(detector).observe(&self.subject, Phase::FirstToken, now - self.started);
+                self.phase = Phase::InterToken;
+                self.bound = lock(detector).bound(&self.subject, Phase::InterToken);
             }
-            Phase::Between => self.gaps.push(gap),
+            Phase::InterToken => self.gaps.push(gap),
         }
         self.since = now;
         if self.gaps.len() >= BATCH {
@@ -85,14 +85,14 @@
     /// Notes that the silence ended the attempt.
     pub(super) fn fell_silent(&self, detector: &Mutex<Detector>) {
         let silence = self.since.elapsed();
-        lock(detector).fell_silent(&self.subject, self.phase, silence);
+        lock(detector).record_timeout(&self.subject, self.phase, silence);
     }
 
     /// Hands the collected gaps to the detector and takes its bound.
     pub(super) fn hand_over(&mut self, detector: &Mutex<Detector>) {
         let mut detector = lock(detector);
         for gap in mem::take(&mut self.gaps) {
-            detector.observe(&self.subject, Phase::Between, gap);
+            detector.observe(&self.subject, Phase::InterToken, gap);
         }
         self.bound = detector.bound(&self.subject, self.phase);
     }
--- a/serving/src/modules/moves.rs
+++ b/serving/src/modules/moves.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use medlarfall_coordination::evidence::{Observation, Side};
+use medlarfall_coordination::evidence::{Cohort, Observation};
 use medlarfall_coordination::rollout::{Phase, Record};
 use medlarfall_schema::declaration::Service;
 use tokio::sync::{mpsc, watch};
@@ -175,8 +175,8 @@
     let moving = record.filter(|record| matches!(record.phase, Phase::Stage(_)));
     let target = moving.and_then(|record| {
         let side = match version {
-            version if *version == *record.to => Side::New,
-            version if *version == *record.from => Side::Old,
+            version if *version == *record.to => Cohort::Canary,
+            version if *version == *record.from => Cohort::Baseline,
             _ => return None,
         };
         Some(Target {
@@ -187,7 +187,7 @@
                 server: Arc::from(server),
                 cut: false,
                 observation: Observation {
-                    side,
+                    cohort: side,
                     route: Arc::from(route),
                     failed: None,
                     first: None,
--- a/serving/src/modules/moves/driver.rs
+++ b/serving/src/modules/moves/driver.rs
@@ -4,9 +4,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::evidence::{Evidence, Side};
+use medlarfall_coordination::evidence::{Cohort, Evidence};
 use medlarfall_coordination::membership::Member;
-use medlarfall_coordination::rollout::{Phase, Record, WHOLE};
+use medlarfall_coordination::rollout::{FULL_SHARE, Phase, Record};
 use medlarfall_coordination::schedule::{Decision, Progress};
 use rand::seq::IndexedRandom;
 use tokio::sync::mpsc;
@@ -147,7 +147,7 @@
             return;
         }
         if joined.number == held.record.number {
-            held.evidence.begin_stage(joined.share() == WHOLE);
+            held.evidence.begin_stage(joined.share() == FULL_SHARE);
             held.since = now;
             held.record = joined;
         } else {
@@ -163,7 +163,7 @@
     fn hold(&self, record: Record, now: Duration) -> Held {
         let stages = u32::try_from(record.plan.shares.len()).unwrap_or(u32::MAX);
         let mut evidence = Evidence::new(self.context.settings.moves.tolerance, stages);
-        evidence.begin_stage(record.share() == WHOLE);
+        evidence.begin_stage(record.share() == FULL_SHARE);
         Held {
             record,
             evidence,
@@ -223,8 +223,8 @@
             return;
         }
         held.evidence.observe(&sample.observation);
-        if sample.observation.side == Side::New
-            && let Some(reason) = held.evidence.against()
+        if sample.observation.cohort == Cohort::Canary
+            && let Some(reason) = held.evidence.rejection()
         {
             self.brake(&sample.service, &reason);
         }
@@ -235,9 +235,9 @@
         let Some(held) = self.held.get(&sample.service) else {
             return true;
         };
-        let version = match sample.observation.side {
-            Side::Old => &held.record.from,
-            Side::New => &held.record.to,
+        let version = match sample.observation.cohort {
+            Cohort::Baseline => &held.record.from,
+            Cohort::Canary => &held.record.to,
         };
         let directory = Arc::clone(&self.context.directory.borrow());
         let servers = directory.servers(&sample.service).iter();
@@ -304,13 +304,15 @@
         let decision = held.record.plan.decide(Progress {
             stage,
             in_stage: self.context.clock.now().saturating_sub(held.since),
-            left: Duration::from_millis(left),
+            remaining: Duration::from_millis(left),
             requests: held.evidence.requests(),
             suspect: held.evidence.suspect(),
         });
         match decision {
             Decision::Stay => {}
-            Decision::Return => self.brake(service, "it could not be proved good by its deadline"),
+            Decision::TakeBack => {
+                self.brake(service, "it could not be proved good by its deadline")
+            }
             Decision::Advance => {
                 let record = held.record.clone().advance();
                 self.write(record);
--- a/serving/src/modules/moves/rows.rs
+++ b/serving/src/modules/moves/rows.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::evidence::Side;
+use medlarfall_coordination::evidence::Cohort;
 
 use super::Sample;
 
@@ -16,7 +16,7 @@
 /// How one backend server has answered lately.
 #[derive(Clone, Copy, Debug)]
 struct Row {
-    side: Side,
+    side: Cohort,
     /// Failures in a row.
     failures: u32,
     /// Time of the first of them.
@@ -29,7 +29,7 @@
 
 impl Row {
     /// Returns the row of a server of which nothing is known.
-    fn new(side: Side) -> Self {
+    fn new(side: Cohort) -> Self {
         Self {
             side,
             failures: 0,
@@ -64,7 +64,7 @@
     ///
     /// `alone` says that it is the only one of its version.
     pub(super) fn dead(&mut self, sample: &Sample, alone: bool, now: Duration) -> bool {
-        let side = sample.observation.side;
+        let side = sample.observation.cohort;
         let server = &sample.server;
         let row = self.0.entry(Arc::clone(server)).or_insert(Row::new(side));
         row.note(sample.observation.failed, now);
--- a/serving/src/modules/moves/store.rs
+++ b/serving/src/modules/moves/store.rs
@@ -130,7 +130,7 @@
 pub async fn write<S: Store>(store: &S, record: &Record) -> Result<Record, Error> {
     swap(store, &record.service, |held| {
         let held = held.ok_or_else(|| absent(&record.service, &record.id))?;
-        Ok(record.clone().over(&held).ok_or(held))
+        Ok(record.clone().replacement_for(&held).ok_or(held))
     })
     .await
 }
@@ -145,7 +145,7 @@
         let held = held.filter(|held| *held.id == *id);
         let held = held.ok_or_else(|| absent(service, id))?;
         let cancelled = held.clone().brake(CANCELLED);
-        Ok(cancelled.over(&held).ok_or(held))
+        Ok(cancelled.replacement_for(&held).ok_or(held))
     })
     .await
 }
