--- a/relay/src/attempt.rs
+++ b/relay/src/attempt.rs
@@ -79,7 +79,7 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         self.backend
-            .load(medlarfall_coordination::balance::Load::ended);
+            .load(medlarfall_coordination::balance::Load::request_ended);
     }
 }
 
@@ -153,7 +153,7 @@
         relay.record_unreachable(backend);
         Failure::NotSent { reason }
     })?;
-    backend.load(medlarfall_coordination::balance::Load::started);
+    backend.load(medlarfall_coordination::balance::Load::request_started);
     let guard = Guard {
         backend: Arc::clone(backend),
         _connection: connection,
@@ -164,7 +164,7 @@
     *request.headers_mut() = relay.codec.request_headers(&original.headers, dispatch);
     let response = sender.send_request(request).await.map_err(|error| {
         let now = relay.clock.now();
-        backend.load(|load| load.outcome(true, now));
+        backend.load(|load| load.record_outcome(true, now));
         let reason = error.to_string();
         Failure::Lost { reason }
     })?;
@@ -172,14 +172,14 @@
     let reply = relay.codec.decode_reply(&original.request_id, &parts);
     let now = relay.clock.now();
     if let Some(requests) = reply.requests {
-        backend.load(|load| load.reported(requests, now));
+        backend.load(|load| load.record_report(requests, now));
     }
     if reply.not_run {
         let status = parts.status.as_u16();
         match status {
             // Misdirected: another server has the address now.
             421 => relay.record_unreachable(backend),
-            _ => backend.load(|load| load.outcome(true, now)),
+            _ => backend.load(|load| load.record_outcome(true, now)),
         }
         return Err(Failure::NotRun {
             status,
@@ -187,13 +187,13 @@
         });
     }
     if !reply.matches || (parts.status.is_success() && !reply.signed) {
-        backend.load(|load| load.outcome(true, now));
+        backend.load(|load| load.record_outcome(true, now));
         return Err(Failure::Lost {
             reason: "response carries another request's identifier or no server signature"
                 .to_owned(),
         });
     }
-    backend.load(|load| load.outcome(parts.status.is_server_error(), now));
+    backend.load(|load| load.record_outcome(parts.status.is_server_error(), now));
     relay.record_response(backend);
     Ok(Answer {
         response: Response::from_parts(parts, body),
--- a/relay/src/broadcast.rs
+++ b/relay/src/broadcast.rs
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 use medlarfall_coordination::canary;
-use medlarfall_coordination::readers::READER_TELLS;
+use medlarfall_coordination::reader_election::READER_ANNOUNCE_INTERVAL;
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
-use medlarfall_coordination::tidings;
+use medlarfall_coordination::updates;
 use medlarfall_runtime::store::{Change, Changes, Error, Lease, Store};
 use serde::{Deserialize, Serialize};
 use tokio::net::UdpSocket;
@@ -167,7 +167,15 @@
     let counts: HashMap<Arc<str>, Count> = message
         .streams
         .into_iter()
-        .map(|(server, runs, reading)| (server, Count { runs, reading }))
+        .map(|(server, runs, reading)| {
+            (
+                server,
+                Count {
+                    streams: runs,
+                    prefilling: reading,
+                },
+            )
+        })
         .collect();
     relay.record_peer_streams(message.entry, counts);
 }
@@ -198,7 +206,7 @@
         let has_open_moves = relay.has_open_moves();
         let interval = match (relay.has_unsent_retries(), reads || has_open_moves) {
             (true, _) => RETRY_INTERVAL,
-            (false, true) => READER_TELLS,
+            (false, true) => READER_ANNOUNCE_INTERVAL,
             (false, false) => MAX_INTERVAL,
         };
         tokio::select! {
@@ -247,7 +255,7 @@
                 log::debug!(reason = error.to_string().as_str(); "message not sent");
             }
         }
-        let pause = tidings::pause(
+        let pause = updates::pause(
             bytes.len(),
             recipients.addresses.len(),
             recipients.link_mbps,
--- a/relay/src/call.rs
+++ b/relay/src/call.rs
@@ -272,7 +272,7 @@
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
             let now = relay.clock.now();
-            backend.load(|load| load.outcome(true, now));
+            backend.load(|load| load.record_outcome(true, now));
             Failure::Lost {
                 reason: error.to_string(),
             }
--- a/relay/src/ingress.rs
+++ b/relay/src/ingress.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_LENGTH, HOST, HeaderValue, TRANSFER_ENCODING};
 use hyper::{HeaderMap, Request, Response, Uri};
-use medlarfall_coordination::evidence::Side;
+use medlarfall_coordination::evidence::Cohort;
 use medlarfall_coordination::routing::{Account, Route, Table};
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -52,7 +52,7 @@
     /// Service that it is sent to.
     pub service: Arc<str>,
     /// Version cohort that it is assigned to, if the service moves.
-    pub cohort: Option<Side>,
+    pub cohort: Option<Cohort>,
     /// When its head arrived.
     pub began: Duration,
     /// When its answer is due.
@@ -93,7 +93,7 @@
     let id = head.as_ref().ok();
     let id = id.map(|head| Arc::clone(&head.request_id));
     let mut response = match receive(&relay, request, head, began).await {
-        Ok(job) if job.route.kind.streams() => stream::answer(&relay, job).await,
+        Ok(job) if job.route.kind.is_stream() => stream::answer(&relay, job).await,
         Ok(job) => call::answer(&relay, job).await,
         Err(refusal) => {
             log_refusal(&relay, &refusal, id.as_deref().unwrap_or(""));
@@ -188,7 +188,7 @@
 
 /// Returns the longest usual duration of a request of a route.
 fn usual_time(route: &Route) -> Duration {
-    if route.kind.streams() {
+    if route.kind.is_stream() {
         STREAM_TIME
     } else {
         route.timeout
--- a/relay/src/monitor.rs
+++ b/relay/src/monitor.rs
@@ -59,7 +59,7 @@
     pub fn record_activity(&self, now: Duration) {
         self.with(|watched| {
             if let Some(watched) = watched {
-                watched.detector.heard(now);
+                watched.detector.record_activity(now);
             }
         });
     }
@@ -76,7 +76,7 @@
                 *slot = None;
                 return None;
             }
-            let step = watched.detector.next(now, prefilling);
+            let step = watched.detector.next_step(now, prefilling);
             if step == Step::Lost {
                 watched.lost.send_replace(true);
                 *slot = None;
@@ -89,7 +89,7 @@
     fn record_failed_probe(&self, sent_at: Duration) {
         self.with(|watched| {
             if let Some(watched) = watched {
-                watched.detector.unanswered(sent_at);
+                watched.detector.record_failed_probe(sent_at);
             }
         });
     }
@@ -120,13 +120,13 @@
 /// Drives the detector of one server until its last stream has left or the server is lost.
 async fn run<C: Codec>(relay: Arc<Relay<C>>, backend: Arc<Backend>) {
     let step = || {
-        let prefilling = backend.load(|load| load.only_reads());
+        let prefilling = backend.load(|load| load.only_prefilling());
         backend.monitor.step(relay.clock.now(), prefilling)
     };
     while let Some(step) = step() {
         match step {
             Step::Wait(until) => tokio::time::sleep_until(relay.clock.instant(until)).await,
-            Step::Ask => probe(&relay, &backend).await,
+            Step::Probe => probe(&relay, &backend).await,
             Step::Lost => {
                 relay.record_unreachable(&backend);
                 relay.metrics.servers_lost.inc();
@@ -143,14 +143,14 @@
 /// Probes a server by fetching its status report.
 async fn probe<C: Codec>(relay: &Relay<C>, backend: &Arc<Backend>) {
     let sent_at = relay.clock.now();
-    let wait = relay.settings.liveness.answer;
+    let wait = relay.settings.liveness.probe_timeout;
     let answer = attempt::fetch_report(relay, backend.server.address);
     let answer = tokio::time::timeout(wait, answer).await;
     let now = relay.clock.now();
     match answer {
         Ok(Ok(report)) if same_incarnation(backend, &report) => {
             relay.record_response(backend);
-            backend.load(|load| load.reported(report.requests, now));
+            backend.load(|load| load.record_report(report.requests, now));
         }
         // The connection was refused, or another incarnation responded: no need to wait for the
         // time-out.
@@ -164,7 +164,7 @@
 
 /// Returns whether a report comes from the incarnation of the server that the streams run at.
 fn same_incarnation(backend: &Backend, report: &Report) -> bool {
-    match (backend.server.born_ms, report.started_ms) {
+    match (backend.server.started_ms, report.started_ms) {
         (Some(known), Some(reported)) => known == reported,
         _ => true,
     }
--- a/relay/src/state/backend.rs
+++ b/relay/src/state/backend.rs
@@ -6,7 +6,7 @@
 
 use medlarfall_coordination::balance::{Candidate, Load};
 use medlarfall_coordination::placement::{Proximity, name_hash};
-use medlarfall_coordination::roster::Server;
+use medlarfall_coordination::registry::Server;
 use medlarfall_coordination::shared_load::Count;
 
 use crate::monitor::Monitor;
@@ -103,7 +103,7 @@
             proximity: self.proximity,
             requests: requests(load),
             slots: self.server.slots,
-            faults: load.faults(),
+            failure_rate: load.failure_rate(),
             suspect: load.suspect(now),
         })
     }
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::canary::{Canary, Order, Report, Verdict};
-use medlarfall_coordination::evidence::{Observation, Side};
+use medlarfall_coordination::evidence::{Cohort, Observation};
 use medlarfall_coordination::placement::name_hash;
 
 use crate::codec::Codec;
@@ -71,7 +71,7 @@
         }
         log::info!(
             service = &**service, version = &*order.version, revision = order.revision,
-            lasts_ms = order.lasts.as_millis(), given_now;
+            lasts_ms = order.duration.as_millis(), given_now;
             "a move is ordered"
         );
         self.moves_changed.notify_one();
@@ -97,23 +97,23 @@
 
     /// Counts a new request and returns its cohort, if its service moves.
     #[must_use]
-    pub fn assign_cohort(&self, service: &Arc<str>) -> Option<Side> {
+    pub fn assign_cohort(&self, service: &Arc<str>) -> Option<Cohort> {
         let now = self.clock.now();
         let mut cohort = None;
         self.with_canary(service, |canary, view| {
             let entries = u32::try_from(view.peers.len() + 1).unwrap_or(u32::MAX);
-            cohort = canary.side(entries, now);
+            cohort = canary.assign(entries, now);
         });
         cohort
     }
 
     /// Returns the cohort of a retry, if the service moves.
     #[must_use]
-    pub fn assign_retry_cohort(&self, service: &Arc<str>) -> Option<Side> {
+    pub fn assign_retry_cohort(&self, service: &Arc<str>) -> Option<Cohort> {
         let now = self.clock.now();
         self.view(|view| {
             let canary = view.canaries.get(service);
-            canary.and_then(|canary| canary.repeat_side(now))
+            canary.and_then(|canary| canary.assign_retry(now))
         })
     }
 
@@ -128,15 +128,15 @@
         let server = &backend.server;
         self.with_canary(&server.service, |canary, view| {
             let cohort = if canary.order().version == server.version {
-                Side::New
+                Cohort::Canary
             } else {
-                Side::Old
+                Cohort::Baseline
             };
             // Timings of a server that is warming up are ignored, whatever its version.
             let warming_up = view.warmups.get(&server.id).is_some_and(|end| now < *end);
             let time = |time: Option<Duration>| time.filter(|_| !warming_up);
             let observation = Observation {
-                side: cohort,
+                cohort,
                 route: Arc::clone(route),
                 failed: measurement.failed,
                 first: time(measurement.first),
@@ -172,7 +172,7 @@
     pub fn receive_move_reports(&self, peer: &Arc<str>, reports: Vec<(Arc<str>, Report)>) {
         let now = self.clock.now();
         for (service, report) in reports {
-            self.with_canary(&service, |canary, _| canary.hear(peer, report, now));
+            self.with_canary(&service, |canary, _| canary.receive(peer, report, now));
         }
     }
 
@@ -186,7 +186,7 @@
         });
         for service in &open {
             self.with_canary(service, |canary, _| {
-                canary.judge(now);
+                canary.conclude(now);
             });
         }
         !open.is_empty()
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-use medlarfall_coordination::readers::Readers;
+use medlarfall_coordination::reader_election::Election;
 use medlarfall_coordination::retry_budget::Usage;
 use medlarfall_coordination::shared_load::Count;
 
@@ -31,8 +31,8 @@
     pub fn unreachable_to_send(&self, everyone: bool) -> Vec<Arc<str>> {
         let now = self.clock.now();
         self.view(|view| {
-            view.unreachable.forget_old(now);
-            view.unreachable.tell(everyone, now)
+            view.unreachable.remove_expired(now);
+            view.unreachable.next_batch(everyone, now)
         })
     }
 
@@ -45,7 +45,7 @@
         let now = self.clock.now();
         self.view(|view| {
             for backend in view.backends.values().flatten() {
-                let not_seen_since = || backend.load(|load| load.told_unreachable(now));
+                let not_seen_since = || backend.load(|load| load.record_peer_unreachable(now));
                 if lost.contains(&backend.server.id) && not_seen_since() {
                     backend.set_unconfirmed(true);
                     view.pending_searches.push(Arc::clone(backend));
@@ -79,7 +79,7 @@
         self.view(|view| {
             for (service, usage) in used {
                 let others = view.peer_retries.entry(Arc::clone(service));
-                others.or_default().told(peer, *usage, now);
+                others.or_default().record(peer, *usage, now);
             }
         });
     }
@@ -87,7 +87,7 @@
     /// Returns whether this entry has found successors that it has not sent to its peers.
     #[must_use]
     pub fn has_unsent_successors(&self) -> bool {
-        self.view(|view| view.successors.untold())
+        self.view(|view| view.successors.has_unsent())
     }
 
     /// Returns the successors that were found while the store is unavailable, as far as they are
@@ -96,10 +96,10 @@
     pub fn successors_to_send(&self, everyone: bool) -> Vec<Successor> {
         let now = self.clock.now();
         self.view(|view| {
-            if view.registry.keeper_answers() {
+            if view.registry.store_available() {
                 view.successors.clear();
             }
-            view.successors.tell(everyone, now)
+            view.successors.next_batch(everyone, now)
         })
     }
 
@@ -159,9 +159,9 @@
                 peer.link_mbps = Some(link_mbps);
             }
             let own = &self.settings;
-            let new_election = || Readers::new(&own.entry, own.link_mbps);
+            let new_election = || Election::new(&own.entry, own.link_mbps);
             let readers = view.reader_election.get_or_insert_with(new_election);
-            readers.told(name, link_mbps, reads, now);
+            readers.record(name, link_mbps, reads, now);
         });
     }
 
@@ -207,7 +207,7 @@
     /// Records a peer's streams at each server.
     pub fn record_peer_streams(&self, peer: Arc<str>, counts: HashMap<Arc<str>, Count>) {
         let now = self.clock.now();
-        self.view(|view| view.peer_load.told(peer, counts, now));
+        self.view(|view| view.peer_load.record(peer, counts, now));
     }
 
     /// Returns this entry's streams at each server: the server, all streams, and those in prefill.
@@ -221,7 +221,7 @@
                 let count = backend.load(|load| load.streams());
                 let streams = backend.streams.load(Ordering::Relaxed);
                 let id = Arc::clone(&backend.server.id);
-                (streams > 0).then_some((id, count.runs, count.reading))
+                (streams > 0).then_some((id, count.streams, count.prefilling))
             });
             counted.collect()
         })
--- a/relay/src/state/placement.rs
+++ b/relay/src/state/placement.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use medlarfall_coordination::balance::{self, Candidate};
-use medlarfall_coordination::evidence::Side;
+use medlarfall_coordination::evidence::Cohort;
 
 use crate::codec::Codec;
 
@@ -41,7 +41,7 @@
     /// How load is measured.
     pub measure: Measure,
     /// Preferred version cohort, if the service moves.
-    pub cohort: Option<Side>,
+    pub cohort: Option<Cohort>,
     /// The only acceptable version, if the service moves.
     pub version: Option<&'request str>,
     /// Hash that breaks ties.
@@ -53,12 +53,12 @@
     /// successor. If its whole group is unreachable, the other members are searched for as well.
     pub fn record_unreachable(&self, backend: &Arc<Backend>) {
         let now = self.clock.now();
-        backend.load(|load| load.unreachable(now));
+        backend.load(|load| load.record_unreachable(now));
         backend.set_unconfirmed(true);
         let id = &backend.server.id;
         let group = backend.group();
         let suspect = self.view(|view| {
-            let suspect = view.groups.failed(group.clone(), id, now);
+            let suspect = view.groups.record_failure(group.clone(), id, now);
             view.pending_searches.push(Arc::clone(backend));
             view.unreachable.insert(Arc::clone(id), now);
             if suspect {
@@ -93,7 +93,7 @@
         backend.monitor.record_activity(now);
         backend.set_unconfirmed(false);
         let group = backend.group();
-        self.view(|view| view.groups.answered(&group));
+        self.view(|view| view.groups.record_response(&group));
     }
 
     /// Returns up to `count` servers of a service that are not suspect and probably received
@@ -112,7 +112,7 @@
             usable.cloned().collect()
         });
         let servers = usable.iter().map(|backend| backend.hash_and_proximity());
-        let likely = balance::likely(&servers.collect::<Vec<_>>(), request_hash, count);
+        let likely = balance::likely_servers(&servers.collect::<Vec<_>>(), request_hash, count);
         let likely = likely.into_iter().map(|index| Arc::clone(&usable[index]));
         likely.collect()
     }
@@ -125,12 +125,14 @@
             let backends = view.backends.get(criteria.service)?;
             let moves_to = view.canaries.get(criteria.service);
             let moves_to = moves_to.map(|canary| Arc::clone(&canary.order().version));
-            let allowed = |backend: &&Arc<Backend>, cohort: Option<Side>| {
+            let allowed = |backend: &&Arc<Backend>, cohort: Option<Cohort>| {
                 let version = &backend.server.version;
                 let fits = match (&moves_to, cohort, criteria.version) {
                     (None, ..) | (Some(_), None, None) => true,
                     (Some(_), _, Some(only)) => **version == *only,
-                    (Some(target), Some(cohort), _) => (version == target) == (cohort == Side::New),
+                    (Some(target), Some(cohort), _) => {
+                        (version == target) == (cohort == Cohort::Canary)
+                    }
                 };
                 fits && !criteria.excluded.contains(&backend.server.id)
             };
@@ -141,7 +143,7 @@
                     .any(|backend| allowed(&backend, criteria.cohort))
             };
             let cohort = match criteria.cohort {
-                Some(Side::New) if !new_serves() => Some(Side::Old),
+                Some(Cohort::Canary) if !new_serves() => Some(Cohort::Baseline),
                 cohort => cohort,
             };
             let fits = |backend: &&Arc<Backend>| allowed(backend, cohort);
--- a/relay/src/state/servers.rs
+++ b/relay/src/state/servers.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use medlarfall_coordination::roster::{Effect, Server};
+use medlarfall_coordination::registry::{Effect, Server};
 
 use crate::broadcast::Successor;
 use crate::codec::Codec;
@@ -21,7 +21,7 @@
             if !warmup.is_zero() {
                 view.warmups.insert(Arc::clone(&id), now + warmup);
             }
-            let effect = view.registry.announce(server, revision);
+            let effect = view.registry.register(server, revision);
             if effect != Effect::Stale {
                 view.remove_unlisted();
                 view.update_backends(&self.settings, &id);
@@ -58,9 +58,9 @@
         let now = self.clock.now();
         let expired = self.view(|view| {
             if available {
-                view.registry.keeper_answered(now);
+                view.registry.store_responded(now);
             } else {
-                view.registry.keeper_lost();
+                view.registry.store_lost();
             }
             let expired = view.registry.expire(now);
             for id in &expired {
@@ -93,7 +93,7 @@
         let server = Server {
             id: Arc::clone(id),
             leaving: false,
-            born_ms: started_ms,
+            started_ms,
             ..lost.clone()
         };
         let effect = self.view(|view| {
@@ -105,7 +105,7 @@
             };
             match effect {
                 Effect::Stale => {}
-                _ if from_peer => view.successors.insert_heard(found),
+                _ if from_peer => view.successors.insert_received(found),
                 _ => view.successors.insert(found, now),
             }
             view.remove_unlisted();
@@ -133,7 +133,7 @@
     /// Returns whether the store is available.
     #[must_use]
     pub fn store_available(&self) -> bool {
-        self.view(|view| view.registry.keeper_answers())
+        self.view(|view| view.registry.store_available())
     }
 
     /// Returns whether a server is still listed as it was when it was chosen, and is not suspect.
--- a/relay/src/state/view.rs
+++ b/relay/src/state/view.rs
@@ -1,13 +1,13 @@
 //! This entry's view of the configuration, the servers and the other entries.
 
 use medlarfall_coordination::canary::Canary;
-use medlarfall_coordination::outage::Groups;
-use medlarfall_coordination::readers::Readers;
+use medlarfall_coordination::group_outage::Groups;
+use medlarfall_coordination::reader_election::Election;
+use medlarfall_coordination::registry::Registry;
 use medlarfall_coordination::retry_budget::{Bounds, Others, Window};
-use medlarfall_coordination::roster::Roster;
 use medlarfall_coordination::routing::Table;
 use medlarfall_coordination::shared_load;
-use medlarfall_coordination::tidings::Tidings;
+use medlarfall_coordination::updates::Updates;
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     pub(super) table_at: Duration,
     /// When the list of servers was last known to be complete.
     pub(super) servers_confirmed_at: Duration,
-    pub(super) registry: Roster,
+    pub(super) registry: Registry,
     pub(super) backends: HashMap<Arc<str>, Vec<Arc<Backend>>>,
     pub(super) retry_windows: HashMap<Arc<str>, Window>,
     /// Retry usage of the peers, by service.
@@ -47,13 +47,13 @@
     pub(super) warmups: HashMap<Arc<str>, Duration>,
     pub(super) groups: Groups<Group>,
     pub(super) peers: HashMap<Arc<str>, Peer>,
-    pub(super) reader_election: Option<Readers>,
+    pub(super) reader_election: Option<Election>,
     pub(super) peer_load: shared_load::Table,
     pub(super) pending_searches: Vec<Arc<Backend>>,
     /// Successors of lost servers, found while the store is unavailable.
-    pub(super) successors: Tidings<Successor>,
+    pub(super) successors: Updates<Successor>,
     /// Servers that this entry could not reach recently.
-    pub(super) unreachable: Tidings<Arc<str>>,
+    pub(super) unreachable: Updates<Arc<str>>,
 }
 
 /// Another entry.
--- a/relay/src/store_watch.rs
+++ b/relay/src/store_watch.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use medlarfall_coordination::canary::Order;
-use medlarfall_coordination::readers::retry_pause;
+use medlarfall_coordination::reader_election::retry_pause;
 use medlarfall_runtime::store::{Change, Changes, Error, Store};
 
 use crate::codec::{Codec, Record};
@@ -195,7 +195,7 @@
             let order = order.map(|(version, lasts)| Order {
                 version,
                 revision,
-                lasts,
+                duration: lasts,
             });
             relay.apply_move_order(&service, order);
         }
--- a/relay/src/stream/forwarding.rs
+++ b/relay/src/stream/forwarding.rs
@@ -191,7 +191,7 @@
         let mut last_received = Instant::now();
         loop {
             let bound = if self.has_events {
-                self.relay.settings.liveness.stream * 2_u32.pow(self.silences.min(3))
+                self.relay.settings.liveness.stream_silence_limit * 2_u32.pow(self.silences.min(3))
             } else {
                 FIRST_EVENT_TIMEOUT
             };
@@ -258,7 +258,7 @@
         } else {
             self.longest_pause = self.longest_pause.max(pause);
         }
-        if self.resumes > 0 && pause > self.relay.settings.liveness.quiet {
+        if self.resumes > 0 && pause > self.relay.settings.liveness.silence_limit {
             self.relay.metrics.resume_gap.observe(pause.as_secs_f64());
         }
         self.last_event_at = now;
--- a/relay/src/stream/occupancy.rs
+++ b/relay/src/stream/occupancy.rs
@@ -19,7 +19,7 @@
     /// Counts a stream at `backend`, in prefill if `prefilling`.
     pub fn start(relay: &Arc<Relay<C>>, backend: &Arc<Backend>, prefilling: bool) -> Self {
         if prefilling {
-            backend.load(Load::reading_started);
+            backend.load(Load::prefill_started);
         }
         backend.streams.fetch_add(1, Ordering::Relaxed);
         relay.streams_changed.notify_one();
@@ -33,7 +33,7 @@
     /// Records the end of prefill.
     pub fn prefill_done(&mut self) {
         if std::mem::take(&mut self.prefilling) {
-            self.backend.load(Load::reading_ended);
+            self.backend.load(Load::prefill_ended);
             self.relay.streams_changed.notify_one();
         }
     }
