--- a/programs/src/bench/decisions.rs
+++ b/programs/src/bench/decisions.rs
@@ -8,7 +8,7 @@
 use hdrhistogram::Histogram;
 use medlarfall_serving::backend::{Role, Server};
 use medlarfall_serving::clock::Clock;
-use medlarfall_serving::modules::admission::{self, Admission, Need, Permit};
+use medlarfall_serving::modules::admission::{self, Admission, Permit, Requirements};
 use medlarfall_serving::modules::directory::Directory;
 use medlarfall_serving::modules::metrics::Admissions;
 use medlarfall_serving::modules::peers::Identity;
@@ -123,13 +123,13 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut live: Vec<Permit> = Vec::with_capacity(size.live);
     for _ in 0..size.live {
-        live.push(admission.ask(need(&mut random, size)).await?);
+        live.push(admission.acquire(need(&mut random, size)).await?);
     }
     let mut times = Histogram::<u64>::new(3)?;
     for _ in 0..DECISIONS {
         let need = need(&mut random, size);
         let started = Instant::now();
-        let permit = admission.ask(need).await?;
+        let permit = admission.acquire(need).await?;
         times.record(microseconds(started.elapsed()))?;
         drop(permit);
     }
@@ -145,7 +145,7 @@
     let unused = SocketAddr::from(([127, 0, 0, 1], 1));
     let stop = CancellationToken::new();
     let settings = cluster::settings("entry-0", "domain-0", unused);
-    let admission = admission::start(admission::Start {
+    let admission = admission::start(admission::Dependencies {
         settings: &settings,
         identity: &Identity::default(),
         store: Client::new(unused, Arc::from("entry-0"), Duration::from_secs(1)),
@@ -173,8 +173,8 @@
 }
 
 /// Returns the need of a request of a random account and prompt.
-fn need(random: &mut ChaCha8Rng, size: Size) -> Need {
-    Need {
+fn need(random: &mut ChaCha8Rng, size: Size) -> Requirements {
+    Requirements {
         service: Arc::from(SERVICE),
         version: Arc::from("v1"),
         account: Arc::from(format!("account-{}", random.random_range(0..size.accounts))),
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -7,7 +7,7 @@
 use medlarfall_coordination::fencing::Policy;
 use medlarfall_schema::operator::OrderRequest;
 use medlarfall_serving::backend::http::Client;
-use medlarfall_serving::backend::{Engine as _, Order, Ordered, Server};
+use medlarfall_serving::backend::{Engine as _, Order, OrderResponse, Server};
 use medlarfall_serving::modules::orders::{self, Desired, Way};
 use medlarfall_serving::platform;
 use medlarfall_serving::platform::Store as _;
@@ -108,7 +108,7 @@
         ..Order::default()
     };
     let late = way.engine.order(&server, &late).await;
-    assert_eq!(late, Ok(Ordered::Fenced));
+    assert_eq!(late, Ok(OrderResponse::Fenced));
     let state = way.engine.order_state(&server).await.expect("its state");
     assert!(!state.draining, "the newer order stands");
 }
--- a/serving/src/backend.rs
+++ b/serving/src/backend.rs
@@ -154,7 +154,7 @@
 
 /// An engine's answer to an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Ordered {
+pub enum OrderResponse {
     /// It carried the order out.
     Done(OrderState),
     /// It refused the fencing number, since it has obeyed a higher one.
@@ -198,7 +198,7 @@
     /// Whether the body was over the limit or the budget.
     pub oversized: bool,
     /// What the body takes from the budget.
-    pub hold: Option<Hold>,
+    pub reservation: Option<Hold>,
     /// Whether the service says that it did not run the call.
     pub not_run: bool,
 }
@@ -276,7 +276,7 @@
         &self,
         server: &Server,
         order: &Order,
-    ) -> impl Future<Output = Result<Ordered, Error>> + Send;
+    ) -> impl Future<Output = Result<OrderResponse, Error>> + Send;
 
     /// Reads what orders have made of the engine.
     fn order_state(
--- a/serving/src/backend/http.rs
+++ b/serving/src/backend/http.rs
@@ -9,8 +9,8 @@
 use serde::de::DeserializeOwned;
 
 use super::{
-    CacheEvent, Call, Engine, Error, Frame, Frames, Generate, Load, Order, OrderState, Ordered,
-    Reference, Reply, Server, Service,
+    CacheEvent, Call, Engine, Error, Frame, Frames, Generate, Load, Order, OrderResponse,
+    OrderState, Reference, Reply, Server, Service,
 };
 use crate::utils::http::{self, Pool};
 
@@ -129,14 +129,14 @@
             .await
     }
 
-    async fn order(&self, server: &Server, order: &Order) -> Result<Ordered, Error> {
+    async fn order(&self, server: &Server, order: &Order) -> Result<OrderResponse, Error> {
         let request = post(server, "/orders", order)?;
         let (parts, body) = self.pool.send_whole(request).await?;
         match parts.status {
             StatusCode::OK => serde_json::from_slice(&body)
-                .map(Ordered::Done)
+                .map(OrderResponse::Done)
                 .map_err(|error| lost(error.to_string())),
-            StatusCode::PRECONDITION_FAILED => Ok(Ordered::Fenced),
+            StatusCode::PRECONDITION_FAILED => Ok(OrderResponse::Fenced),
             status => Err(not_run(format!("the server answered {status}"))),
         }
     }
@@ -177,7 +177,7 @@
             not_run: text(&parts.headers, RUN) == Some("not-run"),
             body,
             oversized,
-            hold,
+            reservation: hold,
         })
     }
 }
--- a/serving/src/context.rs
+++ b/serving/src/context.rs
@@ -14,7 +14,7 @@
 use crate::modules::claims::Claims;
 use crate::modules::declarations::{Board, Declarations};
 use crate::modules::directory::{Directory, Roll};
-use crate::modules::generation::outbox::Ledger;
+use crate::modules::generation::outbox::Limiter;
 use crate::modules::membership;
 use crate::modules::metrics::Metrics;
 use crate::modules::moves;
@@ -61,7 +61,7 @@
     /// What was learnt of the silences of engines.
     pub detector: Mutex<Detector>,
     /// Text held for readers of generations.
-    pub held: Arc<Ledger>,
+    pub held: Arc<Limiter>,
     /// Admission of requests to backend servers.
     pub admission: Admission,
     /// Cancelled when the entry stops.
--- a/serving/src/entry.rs
+++ b/serving/src/entry.rs
@@ -94,7 +94,7 @@
     let (context, mailboxes) = build(settings);
     stops::start(&context);
     moves::driver::start(&context, mailboxes.moves);
-    generation::start_upkeep(Arc::clone(&context));
+    generation::start_detector_cleanup(Arc::clone(&context));
     let addresses = open(&context).await?;
     let advertised = context.settings.peers.advertise;
     let advertised = advertised.unwrap_or(addresses.peers);
@@ -124,7 +124,7 @@
         incarnation: Arc::from(Uuid::now_v7().to_string()),
         failure_domain: Arc::clone(&settings.entry.failure_domain),
     };
-    let admission = admission::start(admission::Start {
+    let admission = admission::start(admission::Dependencies {
         settings: &settings,
         identity: &identity,
         store: platform.clone(),
@@ -144,7 +144,7 @@
         declarations: board.view(),
         board,
         detector: generation::detector(&settings.generation),
-        held: generation::outbox::Ledger::new(settings.generation.held_limit, &metrics),
+        held: generation::outbox::Limiter::new(settings.generation.held_limit, &metrics),
         directory,
         moves: moves_handle,
         membership,
--- a/serving/src/modules/admission.rs
+++ b/serving/src/modules/admission.rs
@@ -37,7 +37,7 @@
 
 /// What a request needs of a backend server.
 #[derive(Clone, Debug)]
-pub struct Need {
+pub struct Requirements {
     /// Service that is asked.
     pub service: Arc<str>,
     /// Version that answers.
@@ -84,7 +84,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
     /// The server answered.
-    Answered,
+    Succeeded,
     /// The server failed.
     Failed,
 }
@@ -92,7 +92,7 @@
 /// A message to the task.
 enum Message {
     /// Asks for a permit.
-    Ask(Need, oneshot::Sender<Result<Permit, Refusal>>),
+    Ask(Requirements, oneshot::Sender<Result<Permit, Refusal>>),
     /// Tells what this entry may hold on a server, or that no more was granted.
     Granted(Arc<str>, Option<u64>),
     /// Ends a reservation.
@@ -148,7 +148,7 @@
     /// # Errors
     ///
     /// Returns why the request was not admitted; it was not run.
-    pub async fn ask(&self, need: Need) -> Result<Permit, Refusal> {
+    pub async fn acquire(&self, need: Requirements) -> Result<Permit, Refusal> {
         let span = telemetry::hop("queue");
         let (reply, answer) = oneshot::channel();
         let sent = self.sender.send(Message::Ask(need, reply)).await;
@@ -161,7 +161,7 @@
 
 /// What the task is started with.
 #[derive(Debug)]
-pub struct Start<'a, S> {
+pub struct Dependencies<'a, S> {
     /// Checked settings.
     pub settings: &'a Settings,
     /// What this entry says of itself.
@@ -180,7 +180,7 @@
 
 /// Starts the task, and the one that asks the store for memory.
 #[must_use]
-pub fn start<S: Store>(start: Start<'_, S>) -> Admission {
+pub fn start<S: Store>(start: Dependencies<'_, S>) -> Admission {
     let (sender, asks) = mpsc::channel(MAILBOX);
     let (releases, ended) = mpsc::unbounded_channel();
     let (demands, wanted) = mpsc::unbounded_channel();
--- a/serving/src/modules/admission/pool.rs
+++ b/serving/src/modules/admission/pool.rs
@@ -7,7 +7,7 @@
 use medlarfall_coordination::memory::{Ledger, ServerKey};
 use medlarfall_coordination::placement::{Candidate, Proximity, choose};
 
-use super::Need;
+use super::Requirements;
 use crate::backend::Server;
 
 /// A backend server of the pool.
@@ -58,7 +58,12 @@
 
 impl Pool {
     /// Returns the server that takes a request, if any can.
-    pub(super) fn choose(&self, need: &Need, ledger: &Ledger, now: Duration) -> Option<Choice<'_>> {
+    pub(super) fn choose(
+        &self,
+        need: &Requirements,
+        ledger: &Ledger,
+        now: Duration,
+    ) -> Option<Choice<'_>> {
         let candidates: Vec<Candidate> = self
             .members
             .iter()
@@ -81,7 +86,13 @@
     }
 
     /// Returns a server as a candidate for a request.
-    fn candidate(&self, member: &Member, need: &Need, ledger: &Ledger, now: Duration) -> Candidate {
+    fn candidate(
+        &self,
+        member: &Member,
+        need: &Requirements,
+        ledger: &Ledger,
+        now: Duration,
+    ) -> Candidate {
         let (used, free) = ledger.usage(member.key);
         let grows = now >= member.denied_until && used + need.tokens <= member.limit();
         let fits = grows || free >= need.tokens;
@@ -95,7 +106,7 @@
     }
 
     /// Returns whether a server takes new requests.
-    fn open(&self, member: &Member, need: &Need, now: Duration) -> bool {
+    fn open(&self, member: &Member, need: &Requirements, now: Duration) -> bool {
         if member.leaving {
             return false;
         }
--- a/serving/src/modules/admission/state.rs
+++ b/serving/src/modules/admission/state.rs
@@ -11,7 +11,7 @@
 
 use super::grants::Demand;
 use super::pool::{Member, Pool};
-use super::{Message, Need, Outcome, Permit, Refusal};
+use super::{Message, Outcome, Permit, Refusal, Requirements};
 use crate::backend::{Role, Server};
 use crate::configs::Settings;
 use crate::configs::admission::Admission;
@@ -26,7 +26,7 @@
 
 /// A request that waits.
 struct Waiting {
-    need: Need,
+    need: Requirements,
     reply: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
@@ -185,7 +185,12 @@
     }
 
     /// Admits a request, lets it wait, or refuses it.
-    fn ask(&mut self, need: Need, reply: oneshot::Sender<Result<Permit, Refusal>>, now: Duration) {
+    fn ask(
+        &mut self,
+        need: Requirements,
+        reply: oneshot::Sender<Result<Permit, Refusal>>,
+        now: Duration,
+    ) {
         if self.too_large(&need) {
             let _ = reply.send(Err(Refusal::TooLarge {
                 tokens: need.tokens,
@@ -207,7 +212,7 @@
     }
 
     /// Returns whether the servers of a request's pool could never hold it.
-    fn too_large(&self, need: &Need) -> bool {
+    fn too_large(&self, need: &Requirements) -> bool {
         let Some(pool) = self.pools.get(&pool_name(&need.service, &need.version)) else {
             return false;
         };
@@ -271,7 +276,7 @@
             return;
         };
         match outcome {
-            Outcome::Answered => pool.ejector.succeeded(&server.name),
+            Outcome::Succeeded => pool.ejector.succeeded(&server.name),
             Outcome::Failed => pool.ejector.failed(Arc::clone(&server.name), now),
         }
     }
--- a/serving/src/modules/callers/services.rs
+++ b/serving/src/modules/callers/services.rs
@@ -191,15 +191,15 @@
         calls::Error::NotRun { .. } => (Kind::Unavailable, Outcome::NotRun),
         calls::Error::Timeout { .. } => (Kind::Timeout, Outcome::Unknown),
         calls::Error::Oversized => (Kind::AnswerTooLarge, Outcome::Ran),
-        calls::Error::NotKept { .. } => (Kind::AnswerNotKept, Outcome::Ran),
+        calls::Error::AnswerNotKept { .. } => (Kind::AnswerNotKept, Outcome::Ran),
         calls::Error::Refused {
             reason: Reason::Mismatch,
         } => (Kind::BadIdentifier, Outcome::NotRun),
         calls::Error::Refused { .. } => (Kind::StoreUnavailable, Outcome::NotRun),
-        calls::Error::Unsure {
+        calls::Error::Uncertain {
             reason: Reason::StillRunning,
         } => (Kind::StillRunning, Outcome::Unknown),
-        calls::Error::AnswerLost | calls::Error::Unsure { .. } => {
+        calls::Error::AnswerLost | calls::Error::Uncertain { .. } => {
             (Kind::AnswerLost, Outcome::Unknown)
         }
     };
@@ -259,5 +259,5 @@
         return;
     }
     let _ = response.add_header("content-length", reply.body.len(), true);
-    response.stream(answer::stream(reply.body, reply.hold, timeout));
+    response.stream(answer::stream(reply.body, reply.reservation, timeout));
 }
--- a/serving/src/modules/calls.rs
+++ b/serving/src/modules/calls.rs
@@ -95,7 +95,7 @@
     #[snafu(display(
         "the call ran before with status {status}; its answer was too large to be kept: read the record instead"
     ))]
-    NotKept {
+    AnswerNotKept {
         /// HTTP status of the answer.
         status: u16,
     },
@@ -107,7 +107,7 @@
     },
     /// An earlier call under the identifier may have run.
     #[snafu(display("{}", doubt(*reason)))]
-    Unsure {
+    Uncertain {
         /// Why.
         reason: Reason,
     },
@@ -200,7 +200,7 @@
 impl Order {
     /// Returns the time that remains for the call.
     #[must_use]
-    pub fn remains(&self, context: &Context) -> Duration {
+    pub fn remaining(&self, context: &Context) -> Duration {
         self.deadline.saturating_sub(context.clock.now())
     }
 }
--- a/serving/src/modules/calls/attempts.rs
+++ b/serving/src/modules/calls/attempts.rs
@@ -11,7 +11,7 @@
 use super::{Error, Order};
 use crate::backend::{self, Reply, Service as _};
 use crate::context::Context;
-use crate::modules::admission::{Need, Outcome, Permit, Refusal};
+use crate::modules::admission::{Outcome, Permit, Refusal, Requirements};
 use crate::modules::moves;
 use crate::telemetry;
 
@@ -29,7 +29,7 @@
 
 /// How the attempts at a call ended.
 #[derive(Clone, Debug)]
-pub enum Sent {
+pub enum CallOutcome {
     /// The call ran.
     Replied(Reply),
     /// No attempt ran.
@@ -38,7 +38,7 @@
     Unknown(Error),
 }
 
-impl Sent {
+impl CallOutcome {
     /// Returns what the caller is told.
     ///
     /// # Errors
@@ -64,7 +64,7 @@
 }
 
 /// Makes the attempts at a call, the first under `permit`.
-pub async fn run(context: &Context, order: &mut Order, permit: Permit) -> Sent {
+pub async fn run(context: &Context, order: &mut Order, permit: Permit) -> CallOutcome {
     let mut tried = vec![Arc::clone(&permit.server.name)];
     let mut last = send(context, order, permit).await;
     for retry in 1..context.settings.services.attempts {
@@ -78,7 +78,7 @@
         let sent = send(context, order, permit).await;
         last = match (sent, last) {
             // An earlier attempt may have run, whatever became of this one.
-            (Sent::NotRun(_), Sent::Unknown(error)) => Sent::Unknown(error),
+            (CallOutcome::NotRun(_), CallOutcome::Unknown(error)) => CallOutcome::Unknown(error),
             (sent, _) => sent,
         };
     }
@@ -86,11 +86,11 @@
 }
 
 /// Returns whether a call must not be sent again.
-fn ended(order: &Order, last: &Sent) -> bool {
+fn ended(order: &Order, last: &CallOutcome) -> bool {
     match last {
-        Sent::Replied(_) => true,
-        Sent::NotRun(_) => false,
-        Sent::Unknown(_) => !order.idempotent,
+        CallOutcome::Replied(_) => true,
+        CallOutcome::NotRun(_) => false,
+        CallOutcome::Unknown(_) => !order.idempotent,
     }
 }
 
@@ -109,9 +109,9 @@
         .filter(|server| server.version == version && !server.leaving)
         .any(|server| !tried.contains(&server.name));
     let wait = order
-        .remains(context)
+        .remaining(context)
         .min(context.settings.services.call_timeout);
-    let need = Need {
+    let need = Requirements {
         service: Arc::from(service.name.as_str()),
         version,
         account: Arc::clone(&order.account),
@@ -122,13 +122,13 @@
         deadline: context.clock.now() + wait,
         excluded: if untried { tried.to_vec() } else { Vec::new() },
     };
-    context.admission.ask(need).await
+    context.admission.acquire(need).await
 }
 
 /// Waits before a retry; returns whether there shall be one.
 async fn pause(context: &Context, order: &Order, retry: usize) -> bool {
     let retry = u32::try_from(retry).unwrap_or(u32::MAX);
-    let remains = order.remains(context);
+    let remains = order.remaining(context);
     match context.calls.retry(&order.service.name, retry, remains) {
         Some(pause) => {
             tokio::time::sleep(pause).await;
@@ -139,11 +139,11 @@
 }
 
 /// Makes one attempt.
-async fn send(context: &Context, order: &mut Order, permit: Permit) -> Sent {
+async fn send(context: &Context, order: &mut Order, permit: Permit) -> CallOutcome {
     let longest = context.settings.services.call_timeout;
-    let timeout = order.remains(context).min(longest);
+    let timeout = order.remaining(context).min(longest);
     if timeout.is_zero() {
-        return Sent::NotRun("the deadline is over".to_owned());
+        return CallOutcome::NotRun("the deadline is over".to_owned());
     }
     order.call.attempt += 1;
     order.call.timeout = timeout;
@@ -168,23 +168,26 @@
     let (sent, outcome) = match answer {
         Ok(Ok(reply)) if reply.not_run => {
             let reason = format!("{} refused it", permit.server.name);
-            (Sent::NotRun(reason), Some(Outcome::Failed))
+            (CallOutcome::NotRun(reason), Some(Outcome::Failed))
         }
         Ok(Ok(reply)) if reply.status >= SERVER_ERROR => {
-            (Sent::Replied(reply), Some(Outcome::Failed))
+            (CallOutcome::Replied(reply), Some(Outcome::Failed))
         }
         Ok(Ok(reply)) => {
             context.calls.succeeded(&order.service.name);
-            (Sent::Replied(reply), Some(Outcome::Answered))
+            (CallOutcome::Replied(reply), Some(Outcome::Succeeded))
         }
-        Ok(Err(backend::Error::NotRun { reason })) => (Sent::NotRun(reason), Some(Outcome::Failed)),
-        Ok(Err(backend::Error::Lost { .. })) => {
-            (Sent::Unknown(Error::AnswerLost), Some(Outcome::Failed))
+        Ok(Err(backend::Error::NotRun { reason })) => {
+            (CallOutcome::NotRun(reason), Some(Outcome::Failed))
         }
+        Ok(Err(backend::Error::Lost { .. })) => (
+            CallOutcome::Unknown(Error::AnswerLost),
+            Some(Outcome::Failed),
+        ),
         // A caller in a hurry says nothing about the server.
         Err(_) => {
             let failed = (timeout == longest).then_some(Outcome::Failed);
-            (Sent::Unknown(Error::Timeout { timeout }), failed)
+            (CallOutcome::Unknown(Error::Timeout { timeout }), failed)
         }
     };
     if let Some(outcome) = outcome {
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -12,7 +12,7 @@
 use super::remainder;
 use crate::backend::Reply;
 use crate::context::Context;
-use crate::modules::calls::attempts::{self, Sent};
+use crate::modules::calls::attempts::{self, CallOutcome};
 use crate::modules::calls::{Error, Order};
 use crate::modules::peers::CALL_TIMEOUT;
 use crate::platform::{self, Item, Store};
@@ -64,7 +64,7 @@
                     Input::Prepared
                 }
                 Err(refusal) => {
-                    sent = Some(Sent::NotRun(refusal.to_string()));
+                    sent = Some(CallOutcome::NotRun(refusal.to_string()));
                     Input::Refused
                 }
             },
@@ -102,14 +102,14 @@
 
 /// Asks a claimer for its word.
 async fn ask(context: &Context, order: &Order, claimer: &Claimer) -> Option<Word> {
-    let wait = order.remains(context).min(CALL_TIMEOUT);
+    let wait = order.remaining(context).min(CALL_TIMEOUT);
     let own = context.claims.wait(claimer, wait).await;
     if own.is_some() {
         return own;
     }
     let address = claimer.address.parse().ok()?;
     for _ in 0..ASKINGS {
-        let timeout = order.remains(context).min(CALL_TIMEOUT);
+        let timeout = order.remaining(context).min(CALL_TIMEOUT);
         let wait = timeout.saturating_sub(PEER_MARGIN);
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let claimer = claimer.clone();
@@ -168,26 +168,26 @@
 }
 
 /// Returns what the end of the attempts means.
-fn input_of_send(sent: &Sent, limit: usize) -> Input {
+fn input_of_send(sent: &CallOutcome, limit: usize) -> Input {
     match sent {
-        Sent::Replied(reply) => Input::Replied(Answer {
+        CallOutcome::Replied(reply) => Input::Replied(Answer {
             status: reply.status,
             content_type: reply.content_type.clone(),
             body: (!reply.oversized && reply.body.len() <= limit)
                 .then(|| identifier::keep(&reply.body)),
         }),
-        Sent::NotRun(_) => Input::Refused,
-        Sent::Unknown(_) => Input::AnswerLost,
+        CallOutcome::NotRun(_) => Input::Refused,
+        CallOutcome::Unknown(_) => Input::AnswerLost,
     }
 }
 
 /// Returns what the caller is told.
-fn conclude(outcome: Outcome, sent: Option<Sent>) -> Result<Reply, Error> {
+fn conclude(outcome: Outcome, sent: Option<CallOutcome>) -> Result<Reply, Error> {
     match (outcome, sent) {
         (Outcome::RanBefore(answer), _) => replay(answer),
         (_, Some(sent)) => sent.into_result(),
         (Outcome::NotRun(reason), None) => Err(Error::Refused { reason }),
-        (Outcome::Unknown(reason), None) => Err(Error::Unsure { reason }),
+        (Outcome::Unknown(reason), None) => Err(Error::Uncertain { reason }),
         (Outcome::Ran, None) => Err(Error::AnswerLost),
     }
 }
@@ -196,13 +196,13 @@
 fn replay(answer: Answer) -> Result<Reply, Error> {
     let status = answer.status;
     let body = answer.body.as_ref().and_then(identifier::bytes);
-    let body = body.ok_or(Error::NotKept { status })?;
+    let body = body.ok_or(Error::AnswerNotKept { status })?;
     Ok(Reply {
         status,
         content_type: answer.content_type,
         body: Bytes::from(body),
         oversized: false,
-        hold: None,
+        reservation: None,
         not_run: false,
     })
 }
--- a/serving/src/modules/generation.rs
+++ b/serving/src/modules/generation.rs
@@ -47,7 +47,7 @@
 }
 
 /// Starts the task that forgets what was learnt of servers that have gone.
-pub fn start_upkeep(context: Arc<Context>) {
+pub fn start_detector_cleanup(context: Arc<Context>) {
     let stop = context.stop.clone();
     tokio::spawn(async move {
         let upkeep = async {
@@ -341,7 +341,7 @@
     /// Tells the caller that the answer is whole and waits until it has read that; returns false if
     /// a part of the answer has to be generated again.
     async fn finish(&mut self, reason: Arc<str>) -> bool {
-        self.report(Report::Answered);
+        self.report(Report::Succeeded);
         self.running = None;
         self.outbox.push(Event::End {
             reason,
--- a/serving/src/modules/generation/admit.rs
+++ b/serving/src/modules/generation/admit.rs
@@ -9,7 +9,7 @@
 use super::Task;
 use super::attempt::Outcome;
 use crate::backend::prompt_tokens;
-use crate::modules::admission::{Need, Permit, Refusal};
+use crate::modules::admission::{Permit, Refusal, Requirements};
 use crate::modules::moves;
 
 /// How long a generation waits for a server on which it lost nothing before it takes another.
@@ -52,17 +52,17 @@
         let begun = self.delivered() > 0;
         let need = self.need(excluded, wait);
         tokio::select! {
-            answer = self.context.admission.ask(need) => Ok(answer),
+            answer = self.context.admission.acquire(need) => Ok(answer),
             () = self.outbox.gone() => Err(Outcome::CallerGone),
             () = self.other_version(), if !begun => Ok(Err(Refusal::Deadline)),
         }
     }
 
     /// Returns what an attempt needs of a server outside `excluded` within `wait`.
-    pub(super) fn need(&self, excluded: Vec<Arc<str>>, wait: Duration) -> Need {
+    pub(super) fn need(&self, excluded: Vec<Arc<str>>, wait: Duration) -> Requirements {
         let order = &self.order;
         let begun = self.delivered() > 0;
-        Need {
+        Requirements {
             service: Arc::clone(&order.service),
             version: Arc::clone(&order.version),
             account: Arc::clone(&order.account),
--- a/serving/src/modules/generation/outbox.rs
+++ b/serving/src/modules/generation/outbox.rs
@@ -32,7 +32,7 @@
 
 /// What the outboxes of an entry hold together.
 #[derive(Debug)]
-pub struct Ledger {
+pub struct Limiter {
     limit: usize,
     held: AtomicUsize,
     peak: AtomicUsize,
@@ -64,7 +64,7 @@
 #[derive(Debug)]
 pub(super) struct Outbox {
     shared: Arc<Shared>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<Limiter>,
     key: Key,
     limit: usize,
 }
@@ -73,7 +73,7 @@
 #[derive(Debug)]
 pub struct Reader {
     shared: Arc<Shared>,
-    ledger: Arc<Ledger>,
+    ledger: Arc<Limiter>,
 }
 
 /// What a reader is doing.
@@ -89,7 +89,7 @@
     Gone,
 }
 
-impl Ledger {
+impl Limiter {
     /// Returns a ledger of outboxes that may hold `limit` bytes together.
     #[must_use]
     pub fn new(limit: usize, metrics: &Metrics) -> Arc<Self> {
@@ -105,13 +105,13 @@
 
     /// Returns the bytes held now.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.held.load(Ordering::SeqCst)
     }
 
     /// Returns the most bytes held at once.
     #[must_use]
-    pub fn peak(&self) -> usize {
+    pub fn peak_bytes(&self) -> usize {
         self.peak.load(Ordering::SeqCst)
     }
 
@@ -137,7 +137,7 @@
 
     fn show(&self) {
         self.gauge
-            .set(i64::try_from(self.held()).unwrap_or(i64::MAX));
+            .set(i64::try_from(self.buffered_bytes()).unwrap_or(i64::MAX));
     }
 
     /// Gives up what is held for the largest idle reader, or for the largest one if none is idle;
@@ -185,7 +185,7 @@
 }
 
 /// Returns a new outbox that holds up to `limit` bytes, and its reader.
-pub(super) fn open(ledger: &Arc<Ledger>, limit: usize) -> (Outbox, Reader) {
+pub(super) fn open(ledger: &Arc<Limiter>, limit: usize) -> (Outbox, Reader) {
     let shared = Arc::new(Shared {
         state: Mutex::default(),
         changed: Notify::new(),
--- a/serving/src/modules/orders.rs
+++ b/serving/src/modules/orders.rs
@@ -8,7 +8,7 @@
 use snafu::Snafu;
 use uuid::Uuid;
 
-use crate::backend::{self, Engine, Order, OrderState, Ordered, Server};
+use crate::backend::{self, Engine, Order, OrderResponse, OrderState, Server};
 use crate::clock::Clock;
 use crate::configs::orders::Orders;
 use crate::platform::{self, Lease, Store};
@@ -237,8 +237,8 @@
         let timeout = self.way.settings.policy.order_timeout;
         let sent = self.way.engine.order(self.server, &order);
         match tokio::time::timeout(timeout, sent).await {
-            Ok(Ok(Ordered::Done(_))) => Answer::Done,
-            Ok(Ok(Ordered::Fenced)) => Answer::Fenced,
+            Ok(Ok(OrderResponse::Done(_))) => Answer::Done,
+            Ok(Ok(OrderResponse::Fenced)) => Answer::Fenced,
             Ok(Err(backend::Error::NotRun { reason })) => {
                 self.reason = reason;
                 Answer::NotRun
--- a/serving/src/modules/stops/handover.rs
+++ b/serving/src/modules/stops/handover.rs
@@ -12,7 +12,7 @@
 use crate::backend::http::Lines;
 use crate::backend::{Engine, Frame, Frames, Generate, Reference, Server};
 use crate::context::Context;
-use crate::modules::admission::{Need, Permit};
+use crate::modules::admission::{Permit, Requirements};
 
 /// Pause after a vain try to move a generation.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
@@ -36,7 +36,7 @@
     context: Arc<Context>,
     server: Arc<Server>,
     request: Generate,
-    need: Need,
+    need: Requirements,
     patience: Duration,
     declared: watch::Receiver<Arc<Declared>>,
     first_index: u64,
@@ -54,7 +54,7 @@
         context: &Arc<Context>,
         server: &Arc<Server>,
         request: Generate,
-        need: Need,
+        need: Requirements,
         first_index: u64,
     ) -> Self {
         Self {
@@ -161,7 +161,7 @@
     fn open(&mut self, journal: &Journal) {
         let attempt = journal.prepared_attempt(self.prepared);
         self.prepared += 1;
-        let need = Need {
+        let need = Requirements {
             deadline: self.context.clock.now() + self.patience,
             excluded: vec![Arc::clone(&self.server.name)],
             ..self.need.clone()
@@ -187,11 +187,11 @@
 /// Starts an attempt and waits for its first frame.
 async fn prepare(
     context: &Context,
-    need: Need,
+    need: Requirements,
     attempt: Attempt,
     request: &Generate,
 ) -> Option<Prepared> {
-    let permit = context.admission.ask(need).await.ok()?;
+    let permit = context.admission.acquire(need).await.ok()?;
     let deadline = Instant::now() + context.settings.generation.first_token_timeout;
     let opened = async {
         let mut frames = context
--- a/serving/tests/admission.rs
+++ b/serving/tests/admission.rs
@@ -8,7 +8,7 @@
 use medlarfall_serving::backend::{Role, Server};
 use medlarfall_serving::clock::Clock;
 use medlarfall_serving::configs::Settings;
-use medlarfall_serving::modules::admission::{self, Admission, Need, Refusal};
+use medlarfall_serving::modules::admission::{self, Admission, Refusal, Requirements};
 use medlarfall_serving::modules::directory::Directory;
 use medlarfall_serving::modules::metrics::Admissions;
 use medlarfall_serving::modules::peers::Identity;
@@ -75,7 +75,7 @@
 
 fn start(directory: watch::Receiver<Arc<Directory>>) -> Admission {
     let settings = settings();
-    admission::start(admission::Start {
+    admission::start(admission::Dependencies {
         settings: &settings,
         identity: &Identity::default(),
         store: Client::new(
@@ -90,8 +90,8 @@
     })
 }
 
-fn need(wait: Duration) -> Need {
-    Need {
+fn need(wait: Duration) -> Requirements {
+    Requirements {
         service: Arc::from("tracker"),
         version: Arc::from("v1"),
         account: Arc::from("cedarline"),
@@ -108,7 +108,7 @@
 async fn a_directory_that_was_filled_before_the_start_is_used() {
     let (_sender, receiver) = watch::channel(directory(&["service-0"]));
     let permit = start(receiver)
-        .ask(need(Duration::from_secs(5)))
+        .acquire(need(Duration::from_secs(5)))
         .await
         .expect("a permit");
     assert_eq!(*permit.server.name, *"service-0");
@@ -119,11 +119,11 @@
     let (sender, receiver) = watch::channel(directory(&[]));
     let admission = start(receiver);
     let refused = admission
-        .ask(need(Duration::from_secs(5)))
+        .acquire(need(Duration::from_secs(5)))
         .await
         .map(|permit| permit.server.name.clone());
     assert_eq!(refused, Err(Refusal::Deadline));
-    let waits = tokio::spawn(async move { admission.ask(need(Duration::from_mins(1))).await });
+    let waits = tokio::spawn(async move { admission.acquire(need(Duration::from_mins(1))).await });
     tokio::task::yield_now().await;
     sender.send_replace(directory(&["service-0"]));
     assert!(waits.await.expect("the task ends").is_ok());
@@ -143,7 +143,7 @@
     tokio::task::yield_now().await;
     for _ in 0..20 {
         let permit = admission
-            .ask(need(Duration::from_secs(5)))
+            .acquire(need(Duration::from_secs(5)))
             .await
             .expect("a permit");
         assert_eq!(*permit.server.name, *"service-1");
