--- a/serving/src/modules/callers.rs
+++ b/serving/src/modules/callers.rs
@@ -14,7 +14,7 @@
 use crate::telemetry;
 use crate::utils::http::TRACEPARENT;
 
-mod answer;
+mod body;
 mod completions;
 mod problem;
 mod resumption;
--- a/serving/src/modules/callers/services.rs
+++ b/serving/src/modules/callers/services.rs
@@ -10,7 +10,7 @@
 use salvo::prelude::*;
 
 use super::problem::{Kind, Outcome, Problem, RUN};
-use super::{Caller, answer};
+use super::{Caller, body};
 use crate::backend::{Call, Reply};
 use crate::context::Context;
 use crate::modules::calls::{self, Order};
@@ -259,5 +259,5 @@
         return;
     }
     let _ = response.add_header("content-length", reply.body.len(), true);
-    response.stream(answer::stream(reply.body, reply.reservation, timeout));
+    response.stream(body::stream(reply.body, reply.reservation, timeout));
 }
--- a/serving/src/modules/generation.rs
+++ b/serving/src/modules/generation.rs
@@ -22,17 +22,17 @@
 mod attempt;
 mod cancel;
 mod exclusion;
-mod moving;
-mod order;
+mod handover;
 pub mod outbox;
-mod watch;
+mod request;
+mod silence;
 
-pub use order::{Error, Event, Order, Origin, Resumption};
+pub use request::{Error, Event, Order, Origin, Resumption};
 
 use attempt::Outcome;
 use exclusion::Exclusion;
 use outbox::{Demand, Outbox, Reader};
-use watch::Watch;
+use silence::Watch;
 
 /// Pause between two clearances of what was learnt of servers that have gone.
 const UPKEEP_INTERVAL: Duration = Duration::from_secs(30);
@@ -54,7 +54,7 @@
             loop {
                 time::sleep(UPKEEP_INTERVAL).await;
                 let directory = Arc::clone(&context.directory.borrow());
-                watch::lock(&context.detector)
+                silence::lock(&context.detector)
                     .retain(|subject| directory.find(&subject.server).is_some());
             }
         };
--- a/serving/src/modules/generation/attempt.rs
+++ b/serving/src/modules/generation/attempt.rs
@@ -9,7 +9,7 @@
 use tokio::time;
 
 use super::outbox::Demand;
-use super::watch::Watch;
+use super::silence::Watch;
 use super::{Event, Task};
 use crate::backend::{self, Engine, Frame, Frames};
 use crate::modules::admission::Refusal;
