--- a/serving/src/backend.rs
+++ b/serving/src/backend.rs
@@ -1,7 +1,7 @@
 //! Backend servers: model engines and plain services.
 //!
-//! [`Engine`] and [`Service`] are the interfaces that the rest of the system uses; [`http`] is the
-//! adapter to the stand-ins' protocol. Another kind of engine costs one adapter.
+//! The rest of the system uses only the traits [`Engine`] and [`Service`]. [`http`] implements them
+//! for the stand-ins' HTTP protocol; another kind of engine needs one further implementation.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -18,10 +18,10 @@
 
 pub mod http;
 
-/// What a backend server does.
+/// Kind of a backend server.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Role {
-    /// Generates with a model.
+    /// Runs generations of a model.
     Engine,
     /// Answers plain HTTP calls.
     Service,
@@ -32,9 +32,9 @@
 pub struct Server {
     /// Unique name of the instance.
     pub name: Arc<str>,
-    /// What the server does.
+    /// Kind of the server.
     pub role: Role,
-    /// Service that it stands behind.
+    /// Service that it belongs to.
     pub service: Arc<str>,
     /// Version that it serves.
     pub version: Arc<str>,
@@ -46,11 +46,11 @@
     pub region: Arc<str>,
     /// Memory of an engine, in tokens.
     pub memory_tokens: u64,
-    /// Whether it is leaving and gets no new work.
+    /// Whether it is leaving and receives no new work.
     pub leaving: bool,
 }
 
-/// Returns the number of tokens of a prompt, as engines count them: its words.
+/// Returns the number of tokens of a prompt as engines count them: one for each word, at least one.
 #[must_use]
 pub fn prompt_tokens(prompt: &str) -> u64 {
     prompt.split_whitespace().count().max(1) as u64
@@ -63,19 +63,19 @@
     pub request_id: Arc<str>,
     /// Number of the attempt, echoed on each frame.
     pub attempt: u64,
-    /// Version that must answer.
+    /// Version that must run the request.
     pub version: Arc<str>,
     /// The prompt.
     pub prompt: Arc<str>,
-    /// Tokens already delivered, from which the engine resumes.
+    /// Tokens already delivered, after which the engine resumes.
     pub resume: Vec<Arc<str>>,
-    /// Most tokens of the whole answer.
+    /// Most tokens of the answer, including the resumed ones.
     pub max_tokens: u64,
     /// Priority; higher runs first.
     pub priority: i32,
 }
 
-/// Names a generation that runs on an engine.
+/// Identifies a generation on an engine.
 #[derive(Clone, Debug, Serialize)]
 pub struct Reference {
     /// Identifier of the request.
@@ -93,31 +93,31 @@
     pub request_id: String,
     /// Number of the attempt.
     pub attempt: u64,
-    /// Index of the token; of an end frame, the number of tokens of the whole answer.
+    /// Index of the token, or in an end frame the number of tokens of the answer.
     pub index: u64,
     /// The token; absent on an end frame.
     pub token: Option<Arc<str>>,
-    /// Why the generation ended; absent on a token frame.
+    /// Reason for the end of the generation; absent on a token frame.
     pub end: Option<Arc<str>>,
 }
 
-/// A load report, as it was some time ago.
+/// A load report of an engine, which may be out of date.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq)]
 pub struct Load {
-    /// Tokens held by all requests.
+    /// Memory in use by all requests, in tokens.
     pub held_tokens: u64,
-    /// Memory in tokens.
+    /// Memory of the engine, in tokens.
     pub memory_tokens: u64,
-    /// Generations that run.
+    /// Number of running generations.
     pub running: u64,
-    /// Generations that wait.
+    /// Number of waiting generations.
     pub waiting: u64,
 }
 
 /// A change of an engine's prefix cache.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 pub struct CacheEvent {
-    /// Number of the event; a missing number is a gap.
+    /// Sequence number of the event; a skipped number is a gap.
     pub sequence: u64,
     /// Hash of the prompt up to and including the block.
     pub block: u64,
@@ -125,20 +125,20 @@
     pub stored: bool,
 }
 
-/// An order to an engine: the state in which it shall end.
+/// An order to an engine: the state that it must reach.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Order {
-    /// Fencing number; a server that enforces it refuses a lower one than the highest seen.
+    /// Fencing number; a server that enforces fencing refuses a number lower than the highest seen.
     pub fencing: u64,
-    /// Versions that shall be loaded; absent leaves them as they are.
+    /// Versions to load; unchanged if absent.
     pub versions: Option<BTreeSet<String>>,
-    /// Role that the engine shall have; absent leaves it as it is.
+    /// Role of the engine; unchanged if absent.
     pub role: Option<String>,
-    /// Whether the engine shall take no new work; absent leaves it as it is.
+    /// Whether the engine must refuse new work; unchanged if absent.
     pub drain: Option<bool>,
 }
 
-/// What orders have made of an engine.
+/// State of an engine that orders can change.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq)]
 #[serde(default)]
 pub struct OrderState {
@@ -148,74 +148,74 @@
     pub versions: BTreeSet<String>,
     /// Role of the engine.
     pub role: String,
-    /// Whether the engine takes no new work.
+    /// Whether the engine refuses new work.
     pub draining: bool,
 }
 
-/// An engine's answer to an order.
+/// An engine's response to an order.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OrderResponse {
-    /// It carried the order out.
+    /// It executed the order and is in this state.
     Done(OrderState),
-    /// It refused the fencing number, since it has obeyed a higher one.
+    /// It refused the fencing number, since it has seen a higher one.
     Fenced,
 }
 
 /// A call to a plain service.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// Identifier of the request, echoed on the answer.
+    /// Identifier of the request, echoed on the response.
     pub request_id: Arc<str>,
-    /// Number of the attempt, echoed on the answer.
+    /// Number of the attempt, echoed on the response.
     pub attempt: u64,
     /// HTTP method.
     pub method: hyper::Method,
-    /// Path and query below the service.
+    /// Path and query relative to the service.
     pub path: Arc<str>,
     /// Content type of the body.
     pub content_type: Option<Arc<str>>,
     /// Body.
     pub body: Bytes,
-    /// W3C trace context to pass on.
+    /// W3C trace context to propagate.
     pub traceparent: Option<Arc<str>>,
-    /// Time that remains for the call, passed on to the service.
+    /// Time that remains for the call, sent to the service.
     pub timeout: Duration,
-    /// Largest answer that is read, in bytes.
+    /// Largest response body that is read, in bytes.
     pub answer_limit: usize,
-    /// Budget that the answer's bytes are taken from.
+    /// Memory budget in which the response body is reserved.
     pub budget: Budget,
 }
 
-/// A plain service's whole answer to the call that it was given.
+/// A plain service's complete response to a call.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
     pub content_type: Option<Arc<str>>,
-    /// Body; empty if it was over the limit or the budget.
+    /// Body; empty if it exceeded the limit or the budget.
     pub body: Bytes,
-    /// Whether the body was over the limit or the budget.
+    /// Whether the body exceeded the limit or the budget.
     pub oversized: bool,
-    /// What the body takes from the budget.
+    /// Reservation of the body's bytes in the budget.
     pub reservation: Option<Hold>,
-    /// Whether the service says that it did not run the call.
+    /// Whether the service declared that it did not run the call.
     pub not_run: bool,
 }
 
-/// Why a backend server gave no usable answer.
+/// Reason why a backend server gave no usable response.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
     /// The request was not run: it was not sent, or was refused before it ran.
     #[snafu(display("the request was not run: {reason}"))]
     NotRun {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The request may have run: its answer was lost or belongs to another request.
+    /// The request may have run: its response was lost or belongs to another request.
     #[snafu(display("the answer was lost: {reason}"))]
     Lost {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
 }
@@ -237,7 +237,7 @@
 
 /// Model engines.
 pub trait Engine: Clone + Send + Sync + 'static {
-    /// Stream of frames that the engine answers with.
+    /// Stream of frames with which the engine responds.
     type Frames: Frames;
 
     /// Starts or resumes a generation.
@@ -247,14 +247,14 @@
         generate: &Generate,
     ) -> impl Future<Output = Result<Self::Frames, Error>> + Send;
 
-    /// Reads on from a generation that runs.
+    /// Attaches to a running generation and reads its further frames.
     fn attach(
         &self,
         server: &Server,
         reference: &Reference,
     ) -> impl Future<Output = Result<Self::Frames, Error>> + Send;
 
-    /// Ends a generation.
+    /// Cancels a generation.
     fn cancel(
         &self,
         server: &Server,
@@ -271,14 +271,14 @@
         after: u64,
     ) -> impl Future<Output = Result<Vec<CacheEvent>, Error>> + Send;
 
-    /// Gives an order.
+    /// Sends an order.
     fn order(
         &self,
         server: &Server,
         order: &Order,
     ) -> impl Future<Output = Result<OrderResponse, Error>> + Send;
 
-    /// Reads what orders have made of the engine.
+    /// Reads the state that orders can change.
     fn order_state(
         &self,
         server: &Server,
@@ -287,7 +287,7 @@
 
 /// Plain services.
 pub trait Service: Clone + Send + Sync + 'static {
-    /// Makes a call once.
+    /// Sends a call once, without retries.
     fn call(
         &self,
         server: &Server,
--- a/serving/src/backend/http.rs
+++ b/serving/src/backend/http.rs
@@ -1,4 +1,4 @@
-//! The adapter to the HTTP protocol of engines and plain services.
+//! HTTP client of engines and plain services, for the stand-ins' protocol.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -14,16 +14,16 @@
 };
 use crate::utils::http::{self, Pool};
 
-/// Header that carries the request's identifier, echoed on the answer.
+/// Header that carries the request's identifier, echoed on the response.
 pub const REQUEST_ID: &str = "medlarfall-request-id";
 
-/// Header that carries the number of the attempt, echoed on the answer.
+/// Header that carries the number of the attempt, echoed on the response.
 pub const ATTEMPT: &str = "medlarfall-attempt";
 
 /// Header that carries the milliseconds that remain for a call.
 pub const TIMEOUT: &str = "medlarfall-timeout-ms";
 
-/// Header that says whether a request ran.
+/// Header that states whether a request ran.
 pub const RUN: &str = "medlarfall-run";
 
 /// Largest frame, in bytes.
@@ -35,7 +35,7 @@
     pool: Pool,
 }
 
-/// Frames read from the body of an answer, one JSON line each.
+/// Stream of frames in a response body, one JSON object per line.
 #[derive(Debug)]
 pub struct Lines {
     body: Incoming,
@@ -43,13 +43,13 @@
 }
 
 impl Client {
-    /// Returns a client without connections.
+    /// Returns a client without open connections.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Posts a message and returns the stream of the answer.
+    /// Posts a message and returns the stream of frames in the response.
     async fn stream<T: Serialize + Sync>(
         &self,
         server: &Server,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Sends a request and returns the JSON of the answer.
+    /// Sends a request and parses the response as JSON.
     async fn json<T: DeserializeOwned>(
         &self,
         request: Request<http_body_util::Full<Bytes>>,
@@ -163,31 +163,33 @@
         let request =
             http::body(request, call.body.clone()).map_err(|error| not_run(error.to_string()))?;
         let (parts, body) = self.pool.send(request).await?.into_parts();
-        let own = text(&parts.headers, REQUEST_ID) == Some(call.request_id.as_ref())
+        let matches = text(&parts.headers, REQUEST_ID) == Some(call.request_id.as_ref())
             && text(&parts.headers, ATTEMPT) == Some(call.attempt.to_string().as_str());
-        if !own {
+        if !matches {
             return Err(lost("the answer belongs to another request".to_owned()));
         }
         let body = http::read_within(body, call.answer_limit, &call.budget).await?;
         let oversized = body.is_none();
-        let (body, hold) = body.map_or((Bytes::new(), None), |(body, hold)| (body, Some(hold)));
+        let (body, reservation) = body.map_or((Bytes::new(), None), |(body, reservation)| {
+            (body, Some(reservation))
+        });
         Ok(Reply {
             status: parts.status.as_u16(),
             content_type: text(&parts.headers, CONTENT_TYPE.as_str()).map(Into::into),
             not_run: text(&parts.headers, RUN) == Some("not-run"),
             body,
             oversized,
-            reservation: hold,
+            reservation,
         })
     }
 }
 
-/// Returns the text of a header.
+/// Returns the value of a header as text.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Returns a request that posts a message as JSON.
+/// Builds a `POST` request with a JSON body.
 fn post<T: Serialize>(
     server: &Server,
     path: &str,
@@ -201,18 +203,18 @@
     http::body(request, body).map_err(|error| not_run(error.to_string()))
 }
 
-/// Returns a request that reads a path.
+/// Builds a `GET` request.
 fn get(server: &Server, path: &str) -> Result<Request<http_body_util::Full<Bytes>>, Error> {
     let request = Request::builder().uri(format!("http://{}{path}", server.address));
     http::body(request, Bytes::new()).map_err(|error| not_run(error.to_string()))
 }
 
-/// Returns the error of a request that was not run.
+/// Returns an error for a request that was not run.
 fn not_run(reason: String) -> Error {
     Error::NotRun { reason }
 }
 
-/// Returns the error of a request that may have run.
+/// Returns an error for a request that may have run.
 fn lost(reason: String) -> Error {
     Error::Lost { reason }
 }
