--- a/serving/src/modules/admission.rs
+++ b/serving/src/modules/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: which backend server takes a request, and when.
 //!
-//! One task owns what this entry has reserved on every server, the queue of requests that wait and
-//! the record of servers that fail. A request is sent only with a [`Permit`], which holds its memory
-//! on the server until it is dropped.
+//! One task owns this entry's reservations on every server, the queue of waiting requests and the
+//! record of failing servers. A request is sent only with a [`Permit`], which reserves memory on the
+//! server until it is dropped.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,18 +29,18 @@
 mod pool;
 mod state;
 
-/// Pause between two looks for memory that lies idle.
-const IDLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval between checks for idle granted memory.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Messages that may wait for the task.
-const MAILBOX: usize = 1_024;
+/// Capacity of the task's message channel.
+const CHANNEL_CAPACITY: usize = 1_024;
 
-/// What a request needs of a backend server.
+/// Requirements of a request that waits for a backend server.
 #[derive(Clone, Debug)]
 pub struct Requirements {
-    /// Service that is asked.
+    /// Service to which the request goes.
     pub service: Arc<str>,
-    /// Version that answers.
+    /// Version of the service.
     pub version: Arc<str>,
     /// Client account of the caller.
     pub account: Arc<str>,
@@ -48,31 +48,31 @@
     pub weight: u64,
     /// Priority within the client account.
     pub priority: i32,
-    /// Memory that the request may grow to, in tokens; 1 for a call to a plain service.
+    /// Most memory that the request can use, in tokens; 1 for a call to a plain service.
     pub tokens: u64,
     /// Hash of the prompt's prefix.
     pub prefix: u64,
-    /// Time, on the entry's clock, until which the request may wait.
+    /// Time of the entry's clock until which the request may wait.
     pub deadline: Duration,
-    /// Servers that must not take it.
+    /// Servers that must not be chosen.
     pub excluded: Vec<Arc<str>>,
 }
 
-/// Why a request was not admitted; it was not run.
+/// Reason why a request was not admitted; it was not run.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Refusal {
-    /// No backend server could ever hold it.
+    /// The request needs more memory than any backend server of the service has.
     #[snafu(display(
         "the request needs {tokens} tokens of memory, more than any backend server gives; ask for less"
     ))]
     TooLarge {
-        /// Memory that the request needs.
+        /// Memory that the request needs, in tokens.
         tokens: u64,
     },
-    /// No backend server became free in time.
+    /// No backend server became free before the deadline.
     #[snafu(display("no backend server became free in time; try again later"))]
     Deadline,
-    /// Too many requests wait already.
+    /// The queue of waiting requests is full.
     #[snafu(display("too many requests wait at this entry; try again later or at another entry"))]
     Full,
     /// The entry is stopping.
@@ -80,28 +80,28 @@
     Stopping,
 }
 
-/// How a request went at its server.
+/// Result of a request at its server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The server answered.
+    /// The server responded.
     Succeeded,
     /// The server failed.
     Failed,
 }
 
-/// A message to the task.
+/// A message to the admission task.
 enum Message {
-    /// Asks for a permit.
+    /// Requests a permit.
     Ask(Requirements, oneshot::Sender<Result<Permit, Refusal>>),
-    /// Tells what this entry may hold on a server, or that no more was granted.
+    /// The tokens that this entry may now use on a server, or none if the grant request failed.
     Granted(Arc<str>, Option<u64>),
     /// Ends a reservation.
     Release(ReservationKey),
-    /// Tells how a request went.
+    /// Reports the result of a request.
     Report(Arc<Server>, Outcome),
 }
 
-/// Allows one request to be sent to a server; dropping it frees the memory.
+/// Permission to send one request to a server; dropping it releases the reserved memory.
 #[derive(Debug)]
 pub struct Permit {
     /// The server.
@@ -111,7 +111,7 @@
 }
 
 impl Permit {
-    /// Tells how the request went.
+    /// Reports the result of the request.
     pub fn report(&self, outcome: Outcome) {
         let _ = self
             .sender
@@ -125,7 +125,7 @@
     }
 }
 
-/// Asks the task for permits.
+/// Client of the admission task.
 #[derive(Clone, Debug)]
 pub struct Admission {
     sender: mpsc::Sender<Message>,
@@ -147,59 +147,68 @@
     ///
     /// # Errors
     ///
-    /// Returns why the request was not admitted; it was not run.
-    pub async fn acquire(&self, need: Requirements) -> Result<Permit, Refusal> {
+    /// Returns the reason why the request was not admitted; it was not run.
+    pub async fn acquire(&self, requirements: Requirements) -> Result<Permit, Refusal> {
         let span = telemetry::hop("queue");
-        let (reply, answer) = oneshot::channel();
-        let sent = self.sender.send(Message::Ask(need, reply)).await;
+        let (reply, response) = oneshot::channel();
+        let sent = self.sender.send(Message::Ask(requirements, reply)).await;
         sent.map_err(|_| Refusal::Stopping)?;
-        let permit = answer.await.unwrap_or(Err(Refusal::Stopping))?;
+        let permit = response.await.unwrap_or(Err(Refusal::Stopping))?;
         span.add_property(|| ("server", permit.server.name.to_string()));
         Ok(permit)
     }
 }
 
-/// What the task is started with.
+/// What the admission task needs to start.
 #[derive(Debug)]
 pub struct Dependencies<'a, S> {
     /// Checked settings.
     pub settings: &'a Settings,
-    /// What this entry says of itself.
+    /// Identity of this entry.
     pub identity: &'a Identity,
     /// The platform's store.
     pub store: S,
-    /// Counts of admitted requests.
+    /// Counters of admitted requests.
     pub admitted: Admissions,
     /// The entry's clock.
     pub clock: Clock,
-    /// Backend servers that the entry knows of.
+    /// Backend servers known to the entry.
     pub directory: watch::Receiver<Arc<Directory>>,
     /// Cancelled when the entry stops.
     pub stop: CancellationToken,
 }
 
-/// Starts the task, and the one that asks the store for memory.
+/// Starts the admission task and the task that requests grants of memory from the store.
 #[must_use]
-pub fn start<S: Store>(start: Dependencies<'_, S>) -> Admission {
-    let (sender, asks) = mpsc::channel(MAILBOX);
-    let (releases, ended) = mpsc::unbounded_channel();
-    let (demands, wanted) = mpsc::unbounded_channel();
+pub fn start<S: Store>(dependencies: Dependencies<'_, S>) -> Admission {
+    let (sender, requests) = mpsc::channel(CHANNEL_CAPACITY);
+    let (releases, priority_messages) = mpsc::unbounded_channel();
+    let (grant_sender, grant_requests) = mpsc::unbounded_channel();
     let task = Task {
-        store: start.store,
-        holder: holder(&start.identity.name, &start.identity.incarnation),
-        reclaim_grace: start.settings.admission.reclaim_grace,
-        clock: start.clock,
+        store: dependencies.store,
+        holder: holder(
+            &dependencies.identity.name,
+            &dependencies.identity.incarnation,
+        ),
+        reclaim_grace: dependencies.settings.admission.reclaim_grace,
+        clock: dependencies.clock,
         absences: Absences::new(),
     };
-    let granting = task.run(wanted, releases.clone());
+    let granting = task.run(grant_requests, releases.clone());
     let channels = Channels {
-        admitted: start.admitted,
+        admitted: dependencies.admitted,
         releases,
-        demands,
+        grant_requests: grant_sender,
     };
-    let state = State::new(start.settings, channels);
-    let serving = serve(state, start.clock, start.directory, asks, ended);
-    let stop = start.stop;
+    let state = State::new(dependencies.settings, channels);
+    let serving = serve(
+        state,
+        dependencies.clock,
+        dependencies.directory,
+        requests,
+        priority_messages,
+    );
+    let stop = dependencies.stop;
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
@@ -210,16 +219,18 @@
     Admission { sender }
 }
 
-/// Serves messages for ever.
+/// Handles messages, changes of the directory and deadlines until the directory's sender is gone.
+///
+/// Messages in `priority_messages` (releases, grants and reports) are handled before new requests.
 async fn serve(
     mut state: State,
     clock: Clock,
     mut directory: watch::Receiver<Arc<Directory>>,
-    mut asks: mpsc::Receiver<Message>,
-    mut ended: mpsc::UnboundedReceiver<Message>,
+    mut requests: mpsc::Receiver<Message>,
+    mut priority_messages: mpsc::UnboundedReceiver<Message>,
 ) {
-    let mut idle = tokio::time::interval(IDLE_INTERVAL);
-    // What the directory held before the start is no change to wait for.
+    let mut idle = tokio::time::interval(IDLE_CHECK_INTERVAL);
+    // `changed` does not report servers that were in the directory before the start.
     let known = Arc::clone(&directory.borrow_and_update());
     state.set_directory(&known, clock.now());
     loop {
@@ -228,7 +239,7 @@
             .map(|deadline| clock.instant(deadline));
         tokio::select! {
             biased;
-            Some(message) = ended.recv() => state.take(message, clock.now()),
+            Some(message) = priority_messages.recv() => state.handle(message, clock.now()),
             changed = directory.changed() => {
                 if changed.is_err() {
                     return;
@@ -236,15 +247,15 @@
                 let directory = Arc::clone(&directory.borrow_and_update());
                 state.set_directory(&directory, clock.now());
             }
-            Some(message) = asks.recv() => state.take(message, clock.now()),
+            Some(message) = requests.recv() => state.handle(message, clock.now()),
             _ = idle.tick() => state.tick(clock.now()),
             () = sleep_until(wake) => {}
         }
-        state.refuse_late(clock.now());
+        state.refuse_expired(clock.now());
     }
 }
 
-/// Waits until an instant, or for ever.
+/// Waits until an instant, or forever if there is none.
 async fn sleep_until(instant: Option<tokio::time::Instant>) {
     match instant {
         Some(instant) => tokio::time::sleep_until(instant).await,
--- a/serving/src/modules/admission/grants.rs
+++ b/serving/src/modules/admission/grants.rs
@@ -1,4 +1,4 @@
-//! The task that asks the platform's store for memory of backend servers, and returns it.
+//! The task that changes this entry's grants of backend servers' memory in the platform's store.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,107 +15,108 @@
 /// Prefix of the keys that hold grants.
 pub const PREFIX: &str = "memory/";
 
-/// How often a write that met another entry's is tried again at once.
-const ATTEMPTS: usize = 8;
+/// Attempts at an update of a record when other entries write it at the same time.
+const UPDATE_ATTEMPTS: usize = 8;
 
-/// A demand for memory of a server.
+/// A request to change this entry's grant of a server's memory.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(super) struct Demand {
+pub(super) struct GrantRequest {
     /// Name of the server.
     pub(super) server: Arc<str>,
-    /// Tokens that this entry wants to hold in all.
+    /// Tokens that this entry wants to be granted in total.
     pub(super) tokens: u64,
-    /// Tokens that are of use to it if it cannot have all that it wants.
-    pub(super) least: u64,
-    /// Tokens that all entries together may hold.
+    /// Fewest tokens that are of use if `tokens` are not free.
+    pub(super) minimum: u64,
+    /// Tokens that all entries together may be granted.
     pub(super) limit: u64,
 }
 
-/// Why a demand was not met.
+/// Reason why a grant request failed.
 #[derive(Debug, Snafu)]
 enum Error {
-    /// Others hold the memory.
+    /// The memory is granted to other entries.
     #[snafu(transparent)]
     Exceeded {
-        /// What is free.
+        /// Tokens that are free.
         source: Exceeded,
     },
-    /// The store cannot be used.
+    /// The store is unavailable or rejected the request.
     #[snafu(transparent)]
     Platform {
-        /// What happened.
+        /// Error of the store.
         source: platform::Error,
     },
     /// The record cannot be read.
     #[snafu(display(
-        "the record of grants cannot be read: {reason}; delete the key if no entry runs"
+        "cannot parse the record of grants: {reason}; delete the key if no entry is running"
     ))]
     Unreadable {
-        /// What is wrong.
+        /// Error of the parser.
         reason: String,
     },
-    /// Other entries wrote at every attempt.
-    #[snafu(display("other entries change the record; trying again"))]
+    /// Other entries changed the record during every attempt.
+    #[snafu(display("other entries changed the record during every attempt"))]
     Contended,
 }
 
-/// The task's state.
+/// The task that processes grant requests.
 pub(super) struct Task<S> {
     /// The platform's store.
     pub(super) store: S,
-    /// Name under which this run of the entry holds grants.
+    /// Name under which this run of the entry is granted memory.
     pub(super) holder: Arc<str>,
-    /// How long an entry is off the instance list before its grants are taken.
+    /// How long an entry must be missing from the instance list before its grants are reclaimed.
     pub(super) reclaim_grace: Duration,
     /// The entry's clock.
     pub(super) clock: Clock,
-    /// Holders that may be gone.
+    /// Holders whose entries are missing from the instance list.
     pub(super) absences: Absences,
 }
 
 impl<S: Store> Task<S> {
-    /// Meets demands for ever, one at a time, and tells the state what this entry holds.
+    /// Processes requests one at a time and sends each result to the admission task, until either
+    /// channel is closed.
     pub(super) async fn run(
         mut self,
-        mut demands: mpsc::UnboundedReceiver<Demand>,
+        mut requests: mpsc::UnboundedReceiver<GrantRequest>,
         state: mpsc::UnboundedSender<Message>,
     ) {
-        while let Some(demand) = demands.recv().await {
-            let met = self.meet(&demand).await;
-            if let Err(error) = &met {
-                log::debug!(server = demand.server.as_ref(), reason = error.to_string().as_str(); "memory not granted");
+        while let Some(request) = requests.recv().await {
+            let granted = self.update(&request).await;
+            if let Err(error) = &granted {
+                log::debug!(server = request.server.as_ref(), reason = error.to_string().as_str(); "grant of backend memory failed");
             }
-            let server = Arc::clone(&demand.server);
-            if state.send(Message::Granted(server, met.ok())).is_err() {
+            let server = Arc::clone(&request.server);
+            if state.send(Message::Granted(server, granted.ok())).is_err() {
                 return;
             }
         }
     }
 
-    /// Stores a record in which this entry holds what it demands, or as much of it as is free, and
-    /// returns how much that is.
-    async fn meet(&mut self, demand: &Demand) -> Result<u64, Error> {
-        let key = format!("{PREFIX}{}", demand.server);
-        for _ in 0..ATTEMPTS {
+    /// Stores a record that grants this entry the requested tokens, or as many of them as are free, and
+    /// returns the number granted.
+    async fn update(&mut self, request: &GrantRequest) -> Result<u64, Error> {
+        let key = format!("{PREFIX}{}", request.server);
+        for _ in 0..UPDATE_ATTEMPTS {
             let item = self.store.get(&key).await?;
             let record = read(item.as_ref())?;
-            let held = record.granted(&self.holder);
-            if held == demand.tokens {
-                return Ok(held);
+            let current = record.granted(&self.holder);
+            if current == request.tokens {
+                return Ok(current);
             }
-            let record = match record.with(&self.holder, demand.tokens, demand.limit) {
+            let record = match record.with(&self.holder, request.tokens, request.limit) {
                 Ok(record) => record,
-                Err(Exceeded { free }) if free >= demand.least => {
-                    record.with(&self.holder, free, demand.limit)?
+                Err(Exceeded { free }) if free >= request.minimum => {
+                    record.with(&self.holder, free, request.limit)?
                 }
-                Err(exceeded) => self.reclaim(&record, demand, exceeded).await?,
+                Err(exceeded) => self.reclaim(&record, request, exceeded).await?,
             };
             let granted = record.granted(&self.holder);
             let expected = item.map_or(0, |item| item.revision);
             let value = serde_json::to_string(&record).unwrap_or_default();
             match self.store.put(&key, value, expected, None).await {
                 Ok(_) => return Ok(granted),
-                // A lost answer is settled by reading the record back.
+                // If the response was lost, the next read shows whether the write took effect.
                 Err(platform::Error::Conflict { .. } | platform::Error::Lost { .. }) => {}
                 Err(error) => return Err(error.into()),
             }
@@ -123,14 +124,14 @@
         Err(Error::Contended)
     }
 
-    /// Returns a record that leaves out the holders that are gone, if the demand then fits.
+    /// Returns a record without the grants of absent holders, if that frees enough for the request.
     async fn reclaim(
         &mut self,
         record: &Record,
-        demand: &Demand,
+        request: &GrantRequest,
         exceeded: Exceeded,
     ) -> Result<Record, Error> {
-        let listed: BTreeSet<String> = self
+        let registered: BTreeSet<String> = self
             .store
             .instances()
             .await?
@@ -138,23 +139,23 @@
             .filter(|instance| instance.role == "entry")
             .map(|instance| instance.name)
             .collect();
-        if listed.is_empty() {
+        if registered.is_empty() {
             return Err(exceeded.into());
         }
         let now = self.clock.now();
         let holders = record.grants.keys().chain([&self.holder]);
         self.absences
-            .observe(holders, |entry| listed.contains(entry), now);
+            .observe(holders, |entry| registered.contains(entry), now);
         let gone = |holder: &str| {
             *holder != *self.holder && self.absences.gone(holder, self.reclaim_grace, now)
         };
         Ok(record
             .without(gone)
-            .with(&self.holder, demand.least, demand.limit)?)
+            .with(&self.holder, request.minimum, request.limit)?)
     }
 }
 
-/// Reads a record; a key without value holds none.
+/// Parses a record; a missing key is an empty record.
 fn read(item: Option<&Item>) -> Result<Record, Error> {
     let Some(item) = item else {
         return Ok(Record::default());
--- a/serving/src/modules/admission/pool.rs
+++ b/serving/src/modules/admission/pool.rs
@@ -1,4 +1,4 @@
-//! The backend servers of one service and version, and which of them takes a request.
+//! The backend servers of one service and version, and the choice of one for a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,35 +15,35 @@
 pub(super) struct Member {
     /// The server.
     pub(super) server: Arc<Server>,
-    /// The server in the ledger.
+    /// Key of the server in the ledger.
     pub(super) key: ServerKey,
-    /// Whether the server is leaving; kept here so that a choice reads no memory of the server.
+    /// Whether the server is leaving; copied from [`Server`] so that a choice does not dereference it.
     pub(super) leaving: bool,
     /// Hash of the server's name.
     pub(super) hash: u64,
-    /// How near the server is.
+    /// Proximity of the server to this entry.
     pub(super) proximity: Proximity,
-    /// Tokens that this entry may hold on the server without a grant.
+    /// Tokens that this entry may reserve on the server without a grant.
     pub(super) base: u64,
     /// Tokens that all entries together may be granted on the server.
     pub(super) grant_limit: u64,
-    /// Until when this entry's share is taken not to grow, since the store refused.
+    /// Time until which this entry's share is not expected to grow, after the store refused a grant.
     pub(super) denied_until: Duration,
 }
 
 impl Member {
-    /// Returns the tokens that this entry may hold on the server at most.
+    /// Returns the most tokens that this entry may reserve on the server.
     pub(super) fn limit(&self) -> u64 {
         self.base + self.grant_limit
     }
 }
 
-/// The server that takes a request.
+/// The server chosen for a request.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Choice<'a> {
     /// The server.
     pub(super) member: &'a Member,
-    /// Whether the request fits into what this entry holds there; otherwise its share must grow.
+    /// Whether the request fits into this entry's share now; otherwise the share must grow first.
     pub(super) ready: bool,
 }
 
@@ -52,69 +52,70 @@
 pub(super) struct Pool {
     /// The servers.
     pub(super) members: Vec<Member>,
-    /// Servers that fail.
+    /// Record of failing servers.
     pub(super) ejector: Ejector,
 }
 
 impl Pool {
-    /// Returns the server that takes a request, if any can.
+    /// Chooses a server for a request, if any can take it.
     pub(super) fn choose(
         &self,
-        need: &Requirements,
+        requirements: &Requirements,
         ledger: &Ledger,
         now: Duration,
     ) -> Option<Choice<'_>> {
         let candidates: Vec<Candidate> = self
             .members
             .iter()
-            .map(|member| self.candidate(member, need, ledger, now))
+            .map(|member| self.candidate(member, requirements, ledger, now))
             .collect();
-        let member = &self.members[choose(&candidates, need.prefix)?];
-        let ready = ledger.free(member.key) >= need.tokens;
+        let member = &self.members[choose(&candidates, requirements.prefix)?];
+        let ready = ledger.free(member.key) >= requirements.tokens;
         Some(Choice { member, ready })
     }
 
-    /// Notes until when the store is taken not to grant more of a server.
-    pub(super) fn deny(&mut self, server: &str, until: Duration) {
-        let denied = self
+    /// Records until when the store is not expected to grant more of a server's memory.
+    pub(super) fn record_denial(&mut self, server: &str, until: Duration) {
+        let member = self
             .members
             .iter_mut()
             .find(|member| *member.server.name == *server);
-        if let Some(member) = denied {
+        if let Some(member) = member {
             member.denied_until = until;
         }
     }
 
-    /// Returns a server as a candidate for a request.
+    /// Returns the properties of a server that decide the choice.
     fn candidate(
         &self,
         member: &Member,
-        need: &Requirements,
+        requirements: &Requirements,
         ledger: &Ledger,
         now: Duration,
     ) -> Candidate {
         let (used, free) = ledger.usage(member.key);
-        let grows = now >= member.denied_until && used + need.tokens <= member.limit();
-        let fits = grows || free >= need.tokens;
+        let can_grow = now >= member.denied_until && used + requirements.tokens <= member.limit();
+        let fits = can_grow || free >= requirements.tokens;
         Candidate {
             hash: member.hash,
             proximity: member.proximity,
             used,
             capacity: member.limit().max(1),
-            fits: fits && self.open(member, need, now),
+            fits: fits && self.accepts(member, requirements, now),
         }
     }
 
-    /// Returns whether a server takes new requests.
-    fn open(&self, member: &Member, need: &Requirements, now: Duration) -> bool {
+    /// Returns whether a server accepts a new request.
+    fn accepts(&self, member: &Member, requirements: &Requirements, now: Duration) -> bool {
         if member.leaving {
             return false;
         }
-        let calm = need.excluded.is_empty() && self.ejector.is_empty();
-        if calm {
+        let no_restrictions = requirements.excluded.is_empty() && self.ejector.is_empty();
+        if no_restrictions {
             return true;
         }
         let name = &member.server.name;
-        !need.excluded.contains(name) && !self.ejector.ejected(name, self.members.len(), now)
+        !requirements.excluded.contains(name)
+            && !self.ejector.ejected(name, self.members.len(), now)
     }
 }
--- a/serving/src/modules/admission/state.rs
+++ b/serving/src/modules/admission/state.rs
@@ -9,7 +9,7 @@
 use medlarfall_coordination::placement::{Proximity, name_hash};
 use tokio::sync::{mpsc, oneshot};
 
-use super::grants::Demand;
+use super::grants::GrantRequest;
 use super::pool::{Member, Pool};
 use super::{Message, Outcome, Permit, Refusal, Requirements};
 use crate::backend::{Role, Server};
@@ -21,28 +21,28 @@
 
 mod shares;
 
-/// Service and version.
+/// Service and version of a pool.
 type PoolName = (Arc<str>, Arc<str>);
 
-/// A request that waits.
+/// A waiting request.
 struct Waiting {
-    need: Requirements,
+    requirements: Requirements,
     reply: oneshot::Sender<Result<Permit, Refusal>>,
 }
 
-/// Where the state sends what it cannot do itself.
+/// Outputs of the state: counters and the channels to other tasks.
 pub(super) struct Channels {
-    /// Counts of admitted requests.
+    /// Counters of admitted requests.
     pub(super) admitted: Admissions,
-    /// Reservations that end.
+    /// Messages of permits to the admission task.
     pub(super) releases: mpsc::UnboundedSender<Message>,
-    /// Demands for memory.
-    pub(super) demands: mpsc::UnboundedSender<Demand>,
+    /// Requests to the task that updates grants.
+    pub(super) grant_requests: mpsc::UnboundedSender<GrantRequest>,
 }
 
-/// What the admission task holds.
+/// The state of the admission task.
 pub(super) struct State {
-    bounds: Admission,
+    settings: Admission,
     entry: Entry,
     ledger: Ledger,
     pools: HashMap<PoolName, Pool>,
@@ -53,10 +53,10 @@
 }
 
 impl State {
-    /// Returns a state that knows no server.
+    /// Returns a state without servers.
     pub(super) fn new(settings: &Settings, channels: Channels) -> Self {
         Self {
-            bounds: settings.admission,
+            settings: settings.admission,
             entry: settings.entry.clone(),
             ledger: Ledger::new(),
             pools: HashMap::new(),
@@ -67,29 +67,29 @@
         }
     }
 
-    /// Takes a message.
-    pub(super) fn take(&mut self, message: Message, now: Duration) {
+    /// Handles a message.
+    pub(super) fn handle(&mut self, message: Message, now: Duration) {
         match message {
-            Message::Ask(need, reply) => self.ask(need, reply, now),
+            Message::Ask(requirements, reply) => self.enqueue(requirements, reply, now),
             Message::Granted(server, tokens) => {
-                self.granted(&server, tokens, now);
-                self.serve_waiting(now);
+                self.record_grant(&server, tokens, now);
+                self.admit_waiting(now);
             }
             Message::Release(key) => {
                 self.ledger.release(key);
-                self.serve_waiting(now);
+                self.admit_waiting(now);
             }
-            Message::Report(server, outcome) => self.report(&server, outcome, now),
+            Message::Report(server, outcome) => self.record_outcome(&server, outcome, now),
         }
     }
 
-    /// Takes the backend servers that the entry knows of now.
+    /// Replaces the set of known backend servers.
     ///
-    /// A server that is off the list keeps its reservations until they end, since it may come back
+    /// A server that is no longer listed keeps its reservations until they end, since it may return
     /// while their requests still run there.
     pub(super) fn set_directory(&mut self, directory: &Directory, now: Duration) {
         let listed: HashSet<&Arc<str>> = directory.iter().map(|server| &server.name).collect();
-        self.forget_idle(&listed);
+        self.remove_unused(&listed);
         for member in self.members.values_mut() {
             if !listed.contains(&member.server.name) {
                 member.leaving = true;
@@ -104,15 +104,15 @@
             self.members.insert(Arc::clone(&server.name), member);
         }
         self.rebuild_pools();
-        self.serve_waiting(now);
+        self.admit_waiting(now);
     }
 
-    /// Forgets the servers that are off the list and on which this entry holds nothing.
-    fn forget_idle(&mut self, listed: &HashSet<&Arc<str>>) {
+    /// Removes the servers that are no longer listed and on which this entry has no reservation or grant.
+    fn remove_unused(&mut self, listed: &HashSet<&Arc<str>>) {
         let (ledger, shares) = (&mut self.ledger, &mut self.shares);
         self.members.retain(|name, member| {
-            let held = shares.get(name).is_some_and(shares::Share::held);
-            let kept = listed.contains(name) || held || ledger.reserved(member.key) > 0;
+            let in_use = shares.get(name).is_some_and(shares::Share::in_use);
+            let kept = listed.contains(name) || in_use || ledger.reserved(member.key) > 0;
             if !kept {
                 ledger.remove(member.key);
                 shares.remove(name);
@@ -121,37 +121,40 @@
         });
     }
 
-    /// Returns idle memory, and tries again for the requests that wait.
+    /// Returns idle memory to the store and retries the waiting requests.
     pub(super) fn tick(&mut self, now: Duration) {
         self.return_idle(now);
-        self.serve_waiting(now);
+        self.admit_waiting(now);
     }
 
-    /// Refuses the requests that cannot wait any longer.
-    pub(super) fn refuse_late(&mut self, now: Duration) {
-        let late = self
+    /// Refuses the requests whose deadline has passed and removes those whose caller is gone.
+    pub(super) fn refuse_expired(&mut self, now: Duration) {
+        let expired = self
             .queue
-            .remove(|item| item.value.need.deadline > now && !item.value.reply.is_closed());
-        for item in late {
+            .remove(|item| item.value.requirements.deadline > now && !item.value.reply.is_closed());
+        for item in expired {
             let _ = item.value.reply.send(Err(Refusal::Deadline));
         }
     }
 
-    /// Returns the earliest deadline of a request that waits.
+    /// Returns the earliest deadline of a waiting request.
     pub(super) fn next_deadline(&self) -> Option<Duration> {
-        self.queue.iter().map(|item| item.value.need.deadline).min()
+        self.queue
+            .iter()
+            .map(|item| item.value.requirements.deadline)
+            .min()
     }
 
-    /// Returns the member for a server, with the ledger's record of it if there is one.
+    /// Returns the pool member of a server; it keeps the ledger key and the denial of an earlier one.
     fn member(&mut self, server: Arc<Server>) -> Member {
         let (base, grant_limit) = match server.role {
-            Role::Engine => self.bounds.memory(server.memory_tokens),
-            Role::Service => (self.bounds.service_calls as u64, 0),
+            Role::Engine => self.settings.memory(server.memory_tokens),
+            Role::Service => (self.settings.service_calls as u64, 0),
         };
-        let held = self.members.get(&server.name);
-        let denied_until = held.map_or(Duration::ZERO, |held| held.denied_until);
-        let key = match held {
-            Some(held) => held.key,
+        let existing = self.members.get(&server.name);
+        let denied_until = existing.map_or(Duration::ZERO, |existing| existing.denied_until);
+        let key = match existing {
+            Some(existing) => existing.key,
             None => self.ledger.add(0),
         };
         let granted = self
@@ -184,66 +187,73 @@
         self.pools.retain(|_, pool| !pool.members.is_empty());
     }
 
-    /// Admits a request, lets it wait, or refuses it.
-    fn ask(
+    /// Queues a request, or refuses it if it is too large or the queue is full.
+    fn enqueue(
         &mut self,
-        need: Requirements,
+        requirements: Requirements,
         reply: oneshot::Sender<Result<Permit, Refusal>>,
         now: Duration,
     ) {
-        if self.too_large(&need) {
+        if self.too_large(&requirements) {
             let _ = reply.send(Err(Refusal::TooLarge {
-                tokens: need.tokens,
+                tokens: requirements.tokens,
             }));
             return;
         }
-        if self.queue.len() >= self.bounds.waiting {
+        if self.queue.len() >= self.settings.waiting {
             let _ = reply.send(Err(Refusal::Full));
             return;
         }
         self.queue.push(Item {
-            account: Arc::clone(&need.account),
-            weight: need.weight,
-            priority: need.priority,
-            cost: need.tokens,
-            value: Waiting { need, reply },
+            account: Arc::clone(&requirements.account),
+            weight: requirements.weight,
+            priority: requirements.priority,
+            cost: requirements.tokens,
+            value: Waiting {
+                requirements,
+                reply,
+            },
         });
-        self.serve_waiting(now);
+        self.admit_waiting(now);
     }
 
-    /// Returns whether the servers of a request's pool could never hold it.
-    fn too_large(&self, need: &Requirements) -> bool {
-        let Some(pool) = self.pools.get(&pool_name(&need.service, &need.version)) else {
+    /// Returns whether a request needs more memory than any server of its pool can grant.
+    fn too_large(&self, requirements: &Requirements) -> bool {
+        let Some(pool) = self
+            .pools
+            .get(&pool_name(&requirements.service, &requirements.version))
+        else {
             return false;
         };
         pool.members
             .iter()
-            .all(|member| member.limit() < need.tokens)
+            .all(|member| member.limit() < requirements.tokens)
     }
 
-    /// Admits the requests that wait, in fair order, as long as one fits, and demands for memory for
-    /// those that do not.
-    fn serve_waiting(&mut self, now: Duration) {
+    /// Admits waiting requests in fair order until none fits, and requests grants of memory for those
+    /// that do not fit.
+    fn admit_waiting(&mut self, now: Duration) {
         loop {
             let mut lacking = Vec::new();
             let mut chosen = None;
             let (pools, ledger) = (&self.pools, &self.ledger);
             let item = self.queue.pop(|item| {
-                let need = &item.value.need;
-                let pool = pools.get(&pool_name(&need.service, &need.version));
-                let Some(choice) = pool.and_then(|pool| pool.choose(need, ledger, now)) else {
+                let requirements = &item.value.requirements;
+                let pool = pools.get(&pool_name(&requirements.service, &requirements.version));
+                let Some(choice) = pool.and_then(|pool| pool.choose(requirements, ledger, now))
+                else {
                     return false;
                 };
                 let server = Arc::clone(&choice.member.server);
                 if choice.ready {
                     chosen = Some((server, choice.member.key));
                 } else {
-                    lacking.push((server, need.tokens));
+                    lacking.push((server, requirements.tokens));
                 }
                 choice.ready
             });
             for (server, tokens) in lacking {
-                self.lacks(&server.name, tokens);
+                self.request_grant(&server.name, tokens);
             }
             match (item, chosen) {
                 (Some(item), Some((server, key))) => self.admit(item.value, server, key),
@@ -252,14 +262,14 @@
         }
     }
 
-    /// Reserves memory for a request and hands out the permit.
+    /// Reserves memory for a request and sends its permit.
     fn admit(&mut self, waiting: Waiting, server: Arc<Server>, key: ServerKey) {
-        let Some(key) = self.ledger.reserve(key, waiting.need.tokens) else {
+        let Some(key) = self.ledger.reserve(key, waiting.requirements.tokens) else {
             return;
         };
-        let near = server.failure_domain == self.entry.failure_domain;
-        self.channels.admitted.count(near);
-        // A permit whose caller has gone is dropped here, which releases the reservation.
+        let same_domain = server.failure_domain == self.entry.failure_domain;
+        self.channels.admitted.count(same_domain);
+        // If the requester is gone, the permit is dropped here, which releases the reservation.
         let _ = waiting.reply.send(Ok(Permit {
             server,
             key,
@@ -267,8 +277,8 @@
         }));
     }
 
-    /// Notes how a request went at its server.
-    fn report(&mut self, server: &Server, outcome: Outcome, now: Duration) {
+    /// Records the result of a request at its server.
+    fn record_outcome(&mut self, server: &Server, outcome: Outcome, now: Duration) {
         let Some(pool) = self
             .pools
             .get_mut(&pool_name(&server.service, &server.version))
@@ -287,7 +297,7 @@
     (Arc::clone(service), Arc::clone(version))
 }
 
-/// Returns how near a server is to the entry.
+/// Returns the proximity of a server to the entry.
 fn proximity(entry: &Entry, server: &Server) -> Proximity {
     match server {
         _ if server.failure_domain == entry.failure_domain => Proximity::FailureDomain,
--- a/serving/src/modules/admission/state/shares.rs
+++ b/serving/src/modules/admission/state/shares.rs
@@ -1,29 +1,29 @@
-//! This entry's shares of engines' memory: they grow before memory is short and shrink when it
-//! has lain idle.
+//! This entry's shares of engines' memory: a share grows in steps ahead of demand, and its unused
+//! part is returned to the store after an idle period.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::super::grants::Demand;
+use super::super::grants::GrantRequest;
 use super::{State, pool_name};
 
-/// How long a share is taken not to grow after the store refused.
-const DENIED_PAUSE: Duration = Duration::from_millis(500);
+/// Time after a failed grant request in which the share is not expected to grow.
+const DENIAL_BACKOFF: Duration = Duration::from_millis(500);
 
 /// This entry's share of one engine's memory.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Share {
     /// Tokens that the store has granted and that may be used.
     granted: u64,
-    /// Whether a demand is on its way.
+    /// Whether a grant request is in flight.
     pending: bool,
-    /// Since when a step or more has been idle.
+    /// Time since which at least one step has been idle.
     idle_since: Option<Duration>,
 }
 
 impl Share {
-    /// Returns whether anything is granted, or a demand is on its way.
-    pub(super) fn held(&self) -> bool {
+    /// Returns whether memory is granted or a grant request is in flight.
+    pub(super) fn in_use(&self) -> bool {
         self.granted > 0 || self.pending
     }
 
@@ -34,8 +34,8 @@
 }
 
 impl State {
-    /// Demands for memory of a server for a request of `tokens`.
-    pub(super) fn lacks(&mut self, server: &Arc<str>, tokens: u64) {
+    /// Requests a larger grant of a server's memory for a request that needs `tokens`.
+    pub(super) fn request_grant(&mut self, server: &Arc<str>, tokens: u64) {
         let Some(member) = self.members.get(server) else {
             return;
         };
@@ -43,7 +43,7 @@
         if share.pending {
             return;
         }
-        let step = self.bounds.grant_step(member.grant_limit);
+        let step = self.settings.grant_step(member.grant_limit);
         let used = self.ledger.reserved(member.key) + tokens;
         let wanted = used.saturating_sub(member.base);
         let tokens = (wanted.div_ceil(step) * step + step)
@@ -53,11 +53,11 @@
             return;
         }
         share.pending = true;
-        self.demand(server, tokens, wanted);
+        self.send_grant_request(server, tokens, wanted);
     }
 
-    /// Takes the store's answer to a demand; nothing granted means that it refused or is down.
-    pub(in super::super) fn granted(
+    /// Records the result of a grant request; `None` means that the store refused it or is unavailable.
+    pub(in super::super) fn record_grant(
         &mut self,
         server: &Arc<str>,
         tokens: Option<u64>,
@@ -74,22 +74,23 @@
             self.ledger.set_share(member.key, member.base + tokens);
             return;
         }
-        let until = now + DENIED_PAUSE;
+        let until = now + DENIAL_BACKOFF;
         member.denied_until = until;
         let name = pool_name(&member.server.service, &member.server.version);
         if let Some(pool) = self.pools.get_mut(&name) {
-            pool.deny(server, until);
+            pool.record_denial(server, until);
         }
     }
 
-    /// Returns the memory that has lain idle for long: it is given up here before the store is told.
+    /// Returns memory that has been idle for the idle timeout: the share shrinks here before the
+    /// request is sent to the store.
     pub(in super::super) fn return_idle(&mut self, now: Duration) {
         let mut returned = Vec::new();
         for (server, share) in &mut self.shares {
             let Some(member) = self.members.get(server) else {
                 continue;
             };
-            let step = self.bounds.grant_step(member.grant_limit);
+            let step = self.settings.grant_step(member.grant_limit);
             let reserved = self.ledger.reserved(member.key);
             let used = reserved.saturating_sub(member.base);
             let kept = if used == 0 { 0 } else { used + step };
@@ -98,7 +99,7 @@
                 continue;
             }
             let since = *share.idle_since.get_or_insert(now);
-            if now.saturating_sub(since) < self.bounds.idle_timeout {
+            if now.saturating_sub(since) < self.settings.idle_timeout {
                 continue;
             }
             self.ledger.set_share(member.key, member.base + kept);
@@ -107,19 +108,19 @@
             returned.push((Arc::clone(server), kept));
         }
         for (server, kept) in returned {
-            self.demand(&server, kept, kept);
+            self.send_grant_request(&server, kept, kept);
         }
     }
 
-    /// Sends a demand to the task that asks the store.
-    fn demand(&self, server: &Arc<str>, tokens: u64, least: u64) {
+    /// Sends a request to the task that updates grants.
+    fn send_grant_request(&self, server: &Arc<str>, tokens: u64, minimum: u64) {
         let Some(member) = self.members.get(server) else {
             return;
         };
-        let _ = self.channels.demands.send(Demand {
+        let _ = self.channels.grant_requests.send(GrantRequest {
             server: Arc::clone(server),
             tokens,
-            least,
+            minimum,
             limit: member.grant_limit,
         });
     }
--- a/serving/tests/admission.rs
+++ b/serving/tests/admission.rs
@@ -1,4 +1,4 @@
-//! The admission task over directories that are filled before, while and after it starts.
+//! The admission task with servers that are listed before or after it starts, or that are leaving.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,9 +16,9 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-const NOWHERE: ([u8; 4], u16) = ([127, 0, 0, 1], 1);
+const UNREACHABLE_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 1);
 
-/// Returns settings whose keys come from the environment that cargo sets for tests.
+/// Returns settings whose keys are read from variables that cargo sets for tests.
 fn settings() -> Settings {
     let secret = |env: &str| {
         Some(raw::Secret {
@@ -26,7 +26,7 @@
             file: None,
         })
     };
-    let any = Some("127.0.0.1:0".to_owned());
+    let any_port = Some("127.0.0.1:0".to_owned());
     let name = |name: &str| Some(name.to_owned());
     let raw = raw::Settings {
         entry: Some(raw::Entry {
@@ -35,10 +35,10 @@
             region: name("region-1"),
         }),
         listen: Some(raw::Listen {
-            callers: any.clone(),
-            operators: any.clone(),
-            peers: any.clone(),
-            metrics: any,
+            callers: any_port.clone(),
+            operators: any_port.clone(),
+            peers: any_port.clone(),
+            metrics: any_port,
         }),
         platform: Some(raw::Platform {
             address: name("127.0.0.1:1"),
@@ -61,7 +61,7 @@
         role: Role::Service,
         service: Arc::from("tracker"),
         version: Arc::from("v1"),
-        address: SocketAddr::from(NOWHERE),
+        address: SocketAddr::from(UNREACHABLE_ADDRESS),
         failure_domain: Arc::from("domain-0"),
         region: Arc::from("region-1"),
         memory_tokens: 0,
@@ -79,7 +79,7 @@
         settings: &settings,
         identity: &Identity::default(),
         store: Client::new(
-            SocketAddr::from(NOWHERE),
+            SocketAddr::from(UNREACHABLE_ADDRESS),
             Arc::from("entry-0"),
             Duration::from_secs(1),
         ),
@@ -90,7 +90,7 @@
     })
 }
 
-fn need(wait: Duration) -> Requirements {
+fn requirements(wait: Duration) -> Requirements {
     Requirements {
         service: Arc::from("tracker"),
         version: Arc::from("v1"),
@@ -105,10 +105,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_directory_that_was_filled_before_the_start_is_used() {
+async fn a_server_listed_before_the_start_is_used() {
     let (_sender, receiver) = watch::channel(directory(&["service-0"]));
     let permit = start(receiver)
-        .acquire(need(Duration::from_secs(5)))
+        .acquire(requirements(Duration::from_secs(5)))
         .await
         .expect("a permit");
     assert_eq!(*permit.server.name, *"service-0");
@@ -119,18 +119,22 @@
     let (sender, receiver) = watch::channel(directory(&[]));
     let admission = start(receiver);
     let refused = admission
-        .acquire(need(Duration::from_secs(5)))
+        .acquire(requirements(Duration::from_secs(5)))
         .await
         .map(|permit| permit.server.name.clone());
     assert_eq!(refused, Err(Refusal::Deadline));
-    let waits = tokio::spawn(async move { admission.acquire(need(Duration::from_mins(1))).await });
+    let waiting = tokio::spawn(async move {
+        admission
+            .acquire(requirements(Duration::from_mins(1)))
+            .await
+    });
     tokio::task::yield_now().await;
     sender.send_replace(directory(&["service-0"]));
-    assert!(waits.await.expect("the task ends").is_ok());
+    assert!(waiting.await.expect("the task ends").is_ok());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_server_that_leaves_gets_nothing_new() {
+async fn a_leaving_server_gets_no_new_requests() {
     let (sender, receiver) = watch::channel(directory(&["service-0", "service-1"]));
     let admission = start(receiver);
     let leaving = Server {
@@ -143,7 +147,7 @@
     tokio::task::yield_now().await;
     for _ in 0..20 {
         let permit = admission
-            .acquire(need(Duration::from_secs(5)))
+            .acquire(requirements(Duration::from_secs(5)))
             .await
             .expect("a permit");
         assert_eq!(*permit.server.name, *"service-1");
