--- a/serving/src/modules/callers.rs
+++ b/serving/src/modules/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' port: generations and calls to plain services.
+//! The HTTP port for callers: generations and calls to plain services.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,21 +20,22 @@
 mod resumption;
 mod services;
 
-use problem::{Kind, Outcome, Problem};
+use problem::{Kind, Problem, RunStatus};
 
-/// Bytes that the operating system holds for a caller that does not read.
+/// Size of the kernel's send buffer of a connection, in bytes; it bounds what is buffered outside the
+/// process for a caller that does not read.
 const SEND_BUFFER: u32 = 64 << 10;
 
-/// Connections that may wait to be accepted.
+/// Connections that may wait in the listen queue.
 const BACKLOG: u32 = 1_024;
 
-/// Smallest buffer of a connection that the HTTP server takes, in bytes.
-const SMALLEST_BUFFER: usize = 8 << 10;
+/// Smallest buffer of a connection that the HTTP server accepts, in bytes.
+const MIN_BUFFER: usize = 8 << 10;
 
-/// Header that names the request.
+/// Header that carries the identifier of the request.
 const REQUEST_ID: &str = "medlarfall-request-id";
 
-/// A caller that has shown its key.
+/// An authenticated caller.
 #[derive(Clone, Debug)]
 struct Caller {
     /// Client account of the caller.
@@ -43,7 +44,8 @@
     request_id: Arc<str>,
 }
 
-/// Checks the caller's key before any other handler.
+/// Middleware that authenticates the caller, and rejects requests with too large headers or at an
+/// entry that is leaving.
 struct Authenticate {
     context: Arc<Context>,
 }
@@ -63,7 +65,7 @@
         if header_bytes(request) > limit {
             let message =
                 format!("the headers are larger than {limit} bytes; send fewer or shorter ones");
-            Problem::new(Kind::HeadersTooLarge, Outcome::NotRun, message).render(response);
+            Problem::new(Kind::HeadersTooLarge, RunStatus::NotRun, message).render(response);
             control.skip_rest();
             return;
         }
@@ -75,7 +77,7 @@
         if self.context.stops.leaving() {
             Problem::new(
                 Kind::EntryLeaving,
-                Outcome::NotRun,
+                RunStatus::NotRun,
                 "this entry is leaving; send the request to another entry",
             )
             .render(response);
@@ -103,7 +105,7 @@
         }
         Problem::new(
             Kind::Unauthenticated,
-            Outcome::NotRun,
+            RunStatus::NotRun,
             "send your key as `authorization: Bearer KEY`",
         )
         .render(response);
@@ -111,7 +113,7 @@
     }
 }
 
-/// Returns the bytes of a request's header names and values.
+/// Returns the total size of a request's header names and values, in bytes.
 fn header_bytes(request: &Request) -> usize {
     let headers = request.headers().iter();
     headers
@@ -123,7 +125,7 @@
 ///
 /// # Errors
 ///
-/// Returns the error of the operating system if the address cannot be bound.
+/// Returns an I/O error if the address cannot be bound.
 pub fn start(context: &Arc<Context>) -> std::io::Result<SocketAddr> {
     let bounds = context.settings.callers;
     let acceptor = TcpAcceptor::try_from(listen(context.settings.listen.callers)?)?;
@@ -135,7 +137,7 @@
     let mut server = Server::new(acceptor)
         .fuse_config(fuse)
         .max_connections(bounds.connections);
-    let buffer = (2 * bounds.header_limit).max(SMALLEST_BUFFER);
+    let buffer = (2 * bounds.header_limit).max(MIN_BUFFER);
     server.http1_mut().max_buf_size(buffer);
     let header_limit = u32::try_from(buffer).unwrap_or(u32::MAX);
     server.http2_mut().max_header_list_size(header_limit);
@@ -150,7 +152,7 @@
     Ok(address)
 }
 
-/// Listens on an address; what the system holds for a caller that does not read is bounded.
+/// Listens on an address with a bounded send buffer and without Nagle's algorithm.
 fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
@@ -158,8 +160,8 @@
         TcpSocket::new_v6()?
     };
     socket.set_reuseaddr(true)?;
-    // Accepted connections inherit both. Without the second a kept connection holds each answer's
-    // first event back until the caller has acknowledged its headers.
+    // Accepted connections inherit both options. Without `TCP_NODELAY`, a reused connection delays the
+    // first event of each answer until the caller has acknowledged the headers.
     socket.set_send_buffer_size(SEND_BUFFER)?;
     socket.set_nodelay(true)?;
     socket.bind(address)?;
@@ -168,10 +170,10 @@
 
 /// Returns the routes of the callers' port.
 fn router(context: &Arc<Context>) -> Router {
-    let completions = completions::Handle {
+    let completions = completions::Endpoint {
         context: Arc::clone(context),
     };
-    let services = services::Handle {
+    let services = services::Endpoint {
         context: Arc::clone(context),
     };
     let authenticate = Authenticate {
--- a/serving/src/modules/callers/body.rs
+++ b/serving/src/modules/callers/body.rs
@@ -1,4 +1,4 @@
-//! An answer that is held for a bounded time for a caller that reads slowly.
+//! A response body that is buffered for a limited time for a slow caller.
 
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,53 +11,61 @@
 
 use crate::utils::budget::Hold;
 
-/// Largest piece that is given to the connection at once, in bytes.
-const PIECE: usize = 64 << 10;
+/// Largest chunk that is passed to the connection, in bytes.
+const MAX_CHUNK: usize = 64 << 10;
 
-/// What is left of an answer.
-struct Rest {
+/// The part of a body that has not been sent, and its reservation in the memory budget.
+struct Remainder {
     bytes: Bytes,
-    _hold: Option<Hold>,
+    _reservation: Option<Hold>,
 }
 
-/// Returns the stream of an answer; what was not read within `timeout` is dropped and its room
-/// given back, and the connection is cut.
+/// Returns a stream of the body. After `timeout` the unread remainder is dropped, its reservation is
+/// released, and the stream ends with an error, which closes the connection.
 pub(super) fn stream(
     body: Bytes,
-    hold: Option<Hold>,
+    reservation: Option<Hold>,
     timeout: Duration,
 ) -> impl Stream<Item = io::Result<Bytes>> + Send + 'static {
-    let rest = Rest {
+    let remainder = Remainder {
         bytes: body,
-        _hold: hold,
+        _reservation: reservation,
     };
-    let rest = Arc::new(Mutex::new(Some(rest)));
-    let (reader, gone) = oneshot::channel::<()>();
-    tokio::spawn(expire(Arc::clone(&rest), gone, timeout));
-    stream::unfold((rest, reader), |(rest, reader)| async move {
-        let piece = next(&rest).transpose()?;
-        Some((piece, (rest, reader)))
+    let remainder = Arc::new(Mutex::new(Some(remainder)));
+    let (reader, reader_dropped) = oneshot::channel::<()>();
+    tokio::spawn(expire(Arc::clone(&remainder), reader_dropped, timeout));
+    stream::unfold((remainder, reader), |(remainder, reader)| async move {
+        let chunk = next_chunk(&remainder).transpose()?;
+        Some((chunk, (remainder, reader)))
     })
 }
 
-/// Drops the rest of an answer when the time is over or its reader has gone.
-async fn expire(rest: Arc<Mutex<Option<Rest>>>, gone: oneshot::Receiver<()>, timeout: Duration) {
-    let _ = tokio::time::timeout(timeout, gone).await;
-    rest.lock().unwrap_or_else(PoisonError::into_inner).take();
+/// Drops the remainder after the timeout, or when the reader is dropped.
+async fn expire(
+    remainder: Arc<Mutex<Option<Remainder>>>,
+    reader_dropped: oneshot::Receiver<()>,
+    timeout: Duration,
+) {
+    let _ = tokio::time::timeout(timeout, reader_dropped).await;
+    remainder
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
+        .take();
 }
 
-/// Returns the next piece, copied so that it does not keep the whole answer, or nothing at its end.
-fn next(rest: &Mutex<Option<Rest>>) -> io::Result<Option<Bytes>> {
-    let mut rest = rest.lock().unwrap_or_else(PoisonError::into_inner);
-    let Some(held) = rest.as_mut() else {
+/// Returns the next chunk, or nothing at the end. The chunk is a copy, so that it does not keep the
+/// whole body allocated.
+fn next_chunk(remainder: &Mutex<Option<Remainder>>) -> io::Result<Option<Bytes>> {
+    let mut remainder = remainder.lock().unwrap_or_else(PoisonError::into_inner);
+    let Some(unread) = remainder.as_mut() else {
         return Err(io::Error::new(
             io::ErrorKind::TimedOut,
             "the answer was not read in time",
         ));
     };
-    if held.bytes.is_empty() {
+    if unread.bytes.is_empty() {
         return Ok(None);
     }
-    let length = held.bytes.len().min(PIECE);
-    Ok(Some(Bytes::copy_from_slice(&held.bytes.split_to(length))))
+    let length = unread.bytes.len().min(MAX_CHUNK);
+    Ok(Some(Bytes::copy_from_slice(&unread.bytes.split_to(length))))
 }
--- a/serving/src/modules/callers/completions.rs
+++ b/serving/src/modules/callers/completions.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/completions`: generations, streamed as server-sent events or answered as a whole.
+//! `POST /v1/completions`: generations, streamed as server-sent events or sent as one JSON response.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -10,34 +10,34 @@
 use salvo::sse::{self, SseEvent};
 use serde::{Deserialize, Serialize};
 
-use super::problem::{Kind, Outcome, Problem, RUN};
+use super::problem::{Kind, Problem, RUN, RunStatus};
 use super::resumption::Sealer;
 use super::{Caller, REQUEST_ID, services};
 use crate::context::Context;
 use crate::modules::admission::Refusal;
 use crate::modules::generation::outbox::Reader;
-use crate::modules::generation::{self, Event, Order, Resumption};
+use crate::modules::generation::{self, Event, Resumption};
 use crate::modules::moves;
 
-/// Header with which a caller comes back: the last event's `id:`.
+/// Header by which a caller resumes a stream; its value is the `id:` of the last event received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
-/// Most tokens of an answer where the caller names none.
+/// Default of `max_tokens`.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
-/// Most tokens that a caller may ask for.
+/// Largest value of `max_tokens`.
 const MAX_TOKENS_LIMIT: u64 = 1 << 20;
 
-/// Answers generations.
-pub(super) struct Handle {
-    /// What the entry's modules share.
+/// Handler of requests for generations.
+pub(super) struct Endpoint {
+    /// Shared context of the entry.
     pub(super) context: Arc<Context>,
 }
 
-/// A request for a generation.
+/// JSON body of a request for a generation.
 #[derive(Debug, Deserialize)]
 struct Completion {
-    /// Service that is asked.
+    /// Name of the service.
     model: String,
     /// The prompt.
     prompt: String,
@@ -49,11 +49,11 @@
     /// Priority; higher runs first.
     #[serde(default)]
     priority: i32,
-    /// The tokens that a caller who comes back holds.
+    /// Tokens that a caller has already received when it resumes an answer.
     tokens: Option<Vec<Arc<str>>>,
 }
 
-/// A part of an answer, or a whole one.
+/// JSON of one event of a stream, or of a complete response.
 #[derive(Debug, Serialize)]
 struct Chunk<'a> {
     id: &'a str,
@@ -75,14 +75,14 @@
     finish_reason: Option<&'a str>,
 }
 
-/// What an answer used.
+/// Usage statistics of an answer.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct Usage {
     completion_tokens: u64,
 }
 
 #[async_trait]
-impl Handler for Handle {
+impl Handler for Endpoint {
     async fn handle(
         &self,
         request: &mut Request,
@@ -95,25 +95,26 @@
         };
         let limit = self.context.settings.callers.body_limit;
         let last_event = request.header::<String>(LAST_EVENT_ID);
-        let read = services::read_body(request, limit).await;
-        match read.and_then(|body| self.order(&body, &caller, last_event.as_deref())) {
-            Ok((order, sealer, streamed)) => {
-                let service = Arc::clone(&order.service);
+        let body = services::read_body(request, limit).await;
+        match body.and_then(|body| self.parse(&body, &caller, last_event.as_deref())) {
+            Ok((generation, sealer, streamed)) => {
+                let service = Arc::clone(&generation.service);
                 if streamed {
-                    self.stream(order, sealer, response);
+                    self.stream(generation, sealer, response);
                 } else {
-                    self.whole(order, response).await;
+                    self.respond(generation, response).await;
                 }
-                self.count(&service, response);
+                self.count_request(&service, response);
             }
             Err(problem) => problem.render(response),
         }
     }
 }
 
-impl Handle {
-    /// Counts a generation by what its answer says; a stream counts as run when it begins.
-    fn count(&self, service: &str, response: &Response) {
+impl Endpoint {
+    /// Counts a generation by the run status in its response headers; a stream counts as run when it
+    /// starts.
+    fn count_request(&self, service: &str, response: &Response) {
         let run = response
             .headers()
             .get(RUN)
@@ -123,31 +124,31 @@
             .count_request(service, run.unwrap_or_default());
     }
 
-    /// Checks a request; returns the generation to run, what seals its resume tokens and whether to
-    /// stream it.
-    fn order(
+    /// Parses and checks a request; returns the generation to run, the sealer of its resume tokens and
+    /// whether to stream it.
+    fn parse(
         &self,
         body: &[u8],
         caller: &Caller,
         last_event: Option<&str>,
-    ) -> Result<(Order, Sealer, bool), Problem> {
+    ) -> Result<(generation::Request, Sealer, bool), Problem> {
         let completion: Completion = serde_json::from_slice(body).map_err(|error| {
             let message =
                 format!("the body is not a completion request: {error}; see docs/CALLERS.md");
-            Problem::new(Kind::BadRequest, Outcome::NotRun, message)
+            Problem::new(Kind::BadRequest, RunStatus::NotRun, message)
         })?;
         let max_tokens = max_tokens(&completion)?;
         let declarations = Arc::clone(&self.context.declarations.borrow());
         let service = declarations
             .service(&completion.model)
             .filter(|service| service.kind() == ServiceKind::Generation)
-            .ok_or_else(|| services::unknown(&completion.model))?;
+            .ok_or_else(|| services::unknown_service(&completion.model))?;
         let binding = binding(&completion, max_tokens, &caller.account);
         let mut sealer = Sealer::new(&self.context.settings.keys, binding);
         let resumption = last_event
-            .map(|text| self.resumption(text, &sealer, &completion))
+            .map(|text| self.check_resumption(text, &sealer, &completion))
             .transpose()?;
-        let mut order = Order {
+        let mut generation = generation::Request {
             request_id: Arc::clone(&caller.request_id),
             account: Arc::clone(&caller.account),
             service: Arc::from(service.name.as_str()),
@@ -159,23 +160,24 @@
             resumption: None,
         };
         if let Some(resumption) = resumption {
-            order.request_id = Arc::clone(&resumption.token.request_id);
-            order.version = Arc::clone(&resumption.token.version);
-            sealer.go_on(&resumption.token);
-            order.resumption = Some(resumption);
+            generation.request_id = Arc::clone(&resumption.token.request_id);
+            generation.version = Arc::clone(&resumption.token.version);
+            sealer.resume_after(&resumption.token);
+            generation.resumption = Some(resumption);
         }
-        log::debug!(request = order.request_id.as_ref(), account = caller.account.as_ref(); "generation");
-        Ok((order, sealer, completion.stream))
+        log::debug!(request = generation.request_id.as_ref(), account = caller.account.as_ref(); "generation");
+        Ok((generation, sealer, completion.stream))
     }
 
-    /// Checks the resume token of a caller that comes back, and the tokens that it holds.
-    fn resumption(
+    /// Checks the resume token of a caller that resumes an answer, and the tokens that it sent.
+    fn check_resumption(
         &self,
         text: &str,
         sealer: &Sealer,
         completion: &Completion,
     ) -> Result<Resumption, Problem> {
-        let refused = |message: String| Problem::new(Kind::ResumeRefused, Outcome::NotRun, message);
+        let refused =
+            |message: String| Problem::new(Kind::ResumeRefused, RunStatus::NotRun, message);
         if !completion.stream {
             let message = "an answer goes on only as a stream; write `stream: true`";
             return Err(refused(message.to_owned()));
@@ -184,39 +186,39 @@
         let token = sealer
             .open(text, lifetime)
             .map_err(|error| refused(error.to_string()))?;
-        let held = completion.tokens.clone();
-        let same = held.as_ref().is_none_or(|held| {
-            held.len() as u64 == token.index + 1
-                && chain_all(held.iter().map(AsRef::as_ref)) == token.delivered
+        let received = completion.tokens.clone();
+        let same = received.as_ref().is_none_or(|received| {
+            received.len() as u64 == token.index + 1
+                && chain_all(received.iter().map(AsRef::as_ref)) == token.delivered
         });
         if !same {
             let message = "`tokens` are not those up to the last event's id: send all tokens received, in order, or leave `tokens` out";
             return Err(refused(message.to_owned()));
         }
-        Ok(Resumption { token, held })
+        Ok(Resumption { token, received })
     }
 
     /// Streams a generation as server-sent events.
-    fn stream(&self, order: Order, mut sealer: Sealer, response: &mut Response) {
+    fn stream(&self, generation: generation::Request, mut sealer: Sealer, response: &mut Response) {
         let holding = self.context.stops.holding.request();
-        let events = generation::start(Arc::clone(&self.context), order.clone());
-        let _ = response.add_header(RUN, Outcome::Ran.as_str(), true);
-        let _ = response.add_header(REQUEST_ID, order.request_id.as_ref(), true);
+        let events = generation::start(Arc::clone(&self.context), generation.clone());
+        let _ = response.add_header(RUN, RunStatus::Ran.as_str(), true);
+        let _ = response.add_header(REQUEST_ID, generation.request_id.as_ref(), true);
         let events = events.map(move |event| {
             let _ = &holding;
-            Ok::<_, Infallible>(event_text(&order, &mut sealer, &event))
+            Ok::<_, Infallible>(server_sent_event(&generation, &mut sealer, &event))
         });
         sse::stream(response, events);
     }
 
-    /// Answers a generation as a whole.
-    async fn whole(&self, order: Order, response: &mut Response) {
+    /// Waits for the complete answer and sends it as one response.
+    async fn respond(&self, generation: generation::Request, response: &mut Response) {
         let _holding = self.context.stops.holding.request();
-        let events = generation::start(Arc::clone(&self.context), order.clone());
+        let events = generation::start(Arc::clone(&self.context), generation.clone());
         match collect(events).await {
             Ok((text, reason, tokens, version)) => {
-                let _ = response.add_header(RUN, Outcome::Ran.as_str(), true);
-                let mut chunk = chunk(&order, &version, &text);
+                let _ = response.add_header(RUN, RunStatus::Ran.as_str(), true);
+                let mut chunk = chunk(&generation, &version, &text);
                 chunk.choices[0].finish_reason = Some(&reason);
                 chunk.usage = Some(Usage {
                     completion_tokens: tokens,
@@ -228,7 +230,7 @@
     }
 }
 
-/// Returns the most tokens of the answer.
+/// Returns the checked or default `max_tokens` of a request.
 fn max_tokens(completion: &Completion) -> Result<u64, Problem> {
     let max_tokens = completion.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS);
     if (1..=MAX_TOKENS_LIMIT).contains(&max_tokens) {
@@ -236,10 +238,10 @@
     }
     let message =
         format!("`max_tokens = {max_tokens}` cannot be used: write 1 to {MAX_TOKENS_LIMIT}");
-    Err(Problem::new(Kind::BadRequest, Outcome::NotRun, message))
+    Err(Problem::new(Kind::BadRequest, RunStatus::NotRun, message))
 }
 
-/// Returns what a request's resume tokens are bound to.
+/// Returns the account and body digests to which a request's resume tokens are bound.
 fn binding(completion: &Completion, max_tokens: u64, account: &str) -> Binding {
     let body = digest([
         completion.model.as_bytes(),
@@ -253,17 +255,21 @@
     }
 }
 
-/// Returns an event as the server-sent event that the caller reads.
-fn event_text(order: &Order, sealer: &mut Sealer, event: &Event) -> SseEvent {
+/// Converts an event of a generation into a server-sent event.
+fn server_sent_event(
+    generation: &generation::Request,
+    sealer: &mut Sealer,
+    event: &Event,
+) -> SseEvent {
     match event {
         Event::Token {
             index,
             text,
             origin,
         } => {
-            let mut chunk = chunk(order, &origin.version, text);
+            let mut chunk = chunk(generation, &origin.version, text);
             chunk.choices[0].token_index = Some(*index);
-            let id = sealer.seal(order, *index, text, origin);
+            let id = sealer.seal(generation, *index, text, origin);
             SseEvent::default().id(id).text(json(&chunk))
         }
         Event::End {
@@ -271,7 +277,7 @@
             tokens,
             version,
         } => {
-            let mut chunk = chunk(order, version, "");
+            let mut chunk = chunk(generation, version, "");
             chunk.choices[0].finish_reason = Some(reason);
             chunk.usage = Some(Usage {
                 completion_tokens: *tokens,
@@ -279,34 +285,34 @@
             SseEvent::default().text(json(&chunk))
         }
         Event::Failed(error) => {
-            let problem = failed(error);
+            let problem = problem(error);
             SseEvent::default().name("error").text(problem.json())
         }
     }
 }
 
-/// Returns the problem of a generation that could not be completed.
-fn failed(error: &generation::Error) -> Problem {
-    let (kind, run) = match error {
+/// Converts the error of a generation into the problem that the caller receives.
+fn problem(error: &generation::Error) -> Problem {
+    let (kind, run_status) = match error {
         generation::Error::Refused {
             refusal: Refusal::TooLarge { .. },
-        } => (Kind::TooLarge, Outcome::NotRun),
-        generation::Error::Refused { .. } => (Kind::Unavailable, Outcome::NotRun),
-        generation::Error::Timeout { .. } => (Kind::Timeout, Outcome::Unknown),
-        generation::Error::Diverged { .. } => (Kind::ResumeRefused, Outcome::Unknown),
+        } => (Kind::TooLarge, RunStatus::NotRun),
+        generation::Error::Refused { .. } => (Kind::Unavailable, RunStatus::NotRun),
+        generation::Error::Timeout { .. } => (Kind::Timeout, RunStatus::Unknown),
+        generation::Error::Diverged { .. } => (Kind::ResumeRefused, RunStatus::Unknown),
         generation::Error::NoServer { .. } | generation::Error::Stopping { .. } => {
-            (Kind::Unavailable, Outcome::Unknown)
+            (Kind::Unavailable, RunStatus::Unknown)
         }
     };
-    Problem::new(kind, run, error.to_string())
+    Problem::new(kind, run_status, error.to_string())
 }
 
 /// Returns a chunk of an answer.
-fn chunk<'a>(order: &'a Order, version: &'a str, text: &'a str) -> Chunk<'a> {
+fn chunk<'a>(generation: &'a generation::Request, version: &'a str, text: &'a str) -> Chunk<'a> {
     Chunk {
-        id: &order.request_id,
+        id: &generation.request_id,
         object: "text_completion",
-        model: &order.service,
+        model: &generation.service,
         version,
         choices: [Choice {
             index: 0,
@@ -323,20 +329,21 @@
     serde_json::to_string(chunk).unwrap_or_default()
 }
 
-/// Waits for the whole answer: its text, why it ended, its number of tokens and its version.
+/// Collects the complete answer: its text, the reason for its end, its number of tokens and its
+/// version.
 async fn collect(mut events: Reader) -> Result<(String, Arc<str>, u64, Arc<str>), Problem> {
-    let mut whole = String::new();
+    let mut answer = String::new();
     while let Some(event) = events.next().await {
         match event {
-            Event::Token { text, .. } => whole.push_str(&text),
+            Event::Token { text, .. } => answer.push_str(&text),
             Event::End {
                 reason,
                 tokens,
                 version,
-            } => return Ok((whole, reason, tokens, version)),
-            Event::Failed(error) => return Err(failed(&error)),
+            } => return Ok((answer, reason, tokens, version)),
+            Event::Failed(error) => return Err(problem(&error)),
         }
     }
     let message = "the entry is stopping; send the request to another entry";
-    Err(Problem::new(Kind::Unavailable, Outcome::Unknown, message))
+    Err(Problem::new(Kind::Unavailable, RunStatus::Unknown, message))
 }
--- a/serving/src/modules/callers/problem.rs
+++ b/serving/src/modules/callers/problem.rs
@@ -1,4 +1,5 @@
-//! Errors that callers are told: JSON with a typed kind, the remedy and whether the request ran.
+//! Errors that callers receive: JSON with a kind, a message with the remedy and whether the request
+//! ran.
 
 use salvo::http::StatusCode;
 use salvo::prelude::*;
@@ -10,16 +11,16 @@
 /// Whether a request ran.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub(super) enum Outcome {
+pub(super) enum RunStatus {
     /// It ran.
     Ran,
-    /// It truly was not run.
+    /// It was certainly not run.
     NotRun,
     /// It may have run.
     Unknown,
 }
 
-impl Outcome {
+impl RunStatus {
     /// Returns the value of the header [`RUN`].
     pub(super) fn as_str(self) -> &'static str {
         match self {
@@ -36,19 +37,19 @@
 pub(super) enum Kind {
     /// The key is missing or wrong.
     Unauthenticated,
-    /// The request cannot be read.
+    /// The request cannot be parsed.
     BadRequest,
     /// The body is larger than the limit.
     TooLarge,
     /// The headers are larger than the limit.
     HeadersTooLarge,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     TooSlow,
     /// No such service is declared.
     UnknownService,
     /// No backend server can take the request.
     Unavailable,
-    /// The answer was lost on the way.
+    /// The response of the backend server was lost.
     AnswerLost,
     /// This entry is leaving.
     EntryLeaving,
@@ -56,17 +57,17 @@
     AnswerTooLarge,
     /// The call ran before, and its answer was not kept.
     AnswerNotKept,
-    /// The caller's identifier is malformed, outside its window or bound to another request.
+    /// The caller's identifier is malformed, outside its validity window or bound to another request.
     BadIdentifier,
-    /// An earlier call under the identifier has not ended.
+    /// An earlier call under the same identifier is still running.
     StillRunning,
-    /// The platform's store does not answer.
+    /// The platform's store does not respond.
     StoreUnavailable,
-    /// The entry holds too many bytes.
+    /// The entry's memory budget for bodies and answers is exhausted.
     Overloaded,
-    /// The resume token cannot be used.
+    /// The resume token is not valid for the request.
     ResumeRefused,
-    /// The answer was not whole when its time was over.
+    /// The answer was not complete within its timeout.
     Timeout,
 }
 
@@ -93,11 +94,11 @@
     }
 }
 
-/// A problem that a caller is told.
+/// An error that a caller receives.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Problem {
     kind: Kind,
-    run: Outcome,
+    run: RunStatus,
     message: String,
 }
 
@@ -108,8 +109,8 @@
 }
 
 impl Problem {
-    /// Returns a problem; `message` names the remedy.
-    pub(super) fn new(kind: Kind, run: Outcome, message: impl Into<String>) -> Self {
+    /// Returns a problem; `message` includes the remedy.
+    pub(super) fn new(kind: Kind, run: RunStatus, message: impl Into<String>) -> Self {
         Self {
             kind,
             run,
@@ -118,18 +119,18 @@
     }
 
     /// Returns whether the request ran.
-    pub(super) fn outcome(&self) -> Outcome {
+    pub(super) fn run_status(&self) -> RunStatus {
         self.run
     }
 
-    /// Writes the problem as the whole answer.
+    /// Writes the problem as the response.
     pub(super) fn render(&self, response: &mut Response) {
         response.status_code(self.kind.status());
         let _ = response.add_header(RUN, self.run.as_str(), true);
         response.render(Json(Body { error: self }));
     }
 
-    /// Returns the problem as JSON, for an answer that has begun.
+    /// Returns the problem as JSON, for a stream whose headers have been sent.
     pub(super) fn json(&self) -> String {
         serde_json::to_string(&Body { error: self }).unwrap_or_default()
     }
--- a/serving/src/modules/callers/resumption.rs
+++ b/serving/src/modules/callers/resumption.rs
@@ -1,4 +1,4 @@
-//! Sealing and opening the resume tokens of one answer.
+//! Sealing and opening of one answer's resume tokens.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,9 +6,9 @@
 use medlarfall_coordination::resume_token::{Binding, Digest, Error, Key, Token, chain};
 
 use crate::configs::keys::Keys;
-use crate::modules::generation::{Order, Origin};
+use crate::modules::generation::{Origin, Request};
 
-/// Seals the resume token of each event of an answer.
+/// Seals the resume tokens of an answer's events.
 #[derive(Clone, Debug)]
 pub(super) struct Sealer {
     key: Key,
@@ -17,7 +17,7 @@
 }
 
 impl Sealer {
-    /// Returns what seals the tokens of an answer of which nothing was delivered.
+    /// Returns a sealer for an answer of which nothing has been delivered.
     pub(super) fn new(keys: &Keys, binding: Binding) -> Self {
         Self {
             key: Key::new(keys.resume.bytes()),
@@ -26,29 +26,29 @@
         }
     }
 
-    /// Opens a token that a caller shows.
+    /// Opens a token that a caller sent, and checks its binding and age.
     pub(super) fn open(&self, text: &str, lifetime: Duration) -> Result<Token, Error> {
         self.key
             .open(text, &self.binding, now(), lifetime.as_secs())
     }
 
-    /// Goes on after what a token says was delivered.
-    pub(super) fn go_on(&mut self, token: &Token) {
+    /// Continues after the tokens that a resume token declares as delivered.
+    pub(super) fn resume_after(&mut self, token: &Token) {
         self.delivered = token.delivered;
     }
 
     /// Seals the resume token of the next event.
     pub(super) fn seal(
         &mut self,
-        order: &Order,
+        request: &Request,
         index: u64,
         text: &str,
         origin: &Origin,
     ) -> String {
         self.delivered = chain(self.delivered, text);
         self.key.seal(&Token {
-            request_id: Arc::clone(&order.request_id),
-            service: Arc::clone(&order.service),
+            request_id: Arc::clone(&request.request_id),
+            service: Arc::clone(&request.service),
             version: Arc::clone(&origin.version),
             server: Arc::clone(&origin.server),
             attempt: origin.attempt,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Returns the seconds since 1970.
+/// Returns the Unix time in seconds.
 fn now() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/serving/src/modules/callers/services.rs
+++ b/serving/src/modules/callers/services.rs
@@ -9,31 +9,31 @@
 use salvo::http::StatusCode;
 use salvo::prelude::*;
 
-use super::problem::{Kind, Outcome, Problem, RUN};
+use super::problem::{Kind, Problem, RUN, RunStatus};
 use super::{Caller, body};
 use crate::backend::{Call, Reply};
 use crate::context::Context;
-use crate::modules::calls::{self, Order};
+use crate::modules::calls;
 use crate::modules::claims;
 use crate::utils::budget::Hold;
 
 /// Header that carries the caller's identifier of a call.
 const IDENTIFIER: &str = "idempotency-key";
 
-/// Header by which a caller says how many milliseconds a call may take.
+/// Header that carries the caller's timeout of a call in milliseconds.
 const TIMEOUT: &str = "medlarfall-timeout-ms";
 
 /// Length of a W3C trace context of version 00.
 const TRACEPARENT_LENGTH: usize = 55;
 
-/// Answers calls to plain services.
-pub(super) struct Handle {
-    /// What the entry's modules share.
+/// Handler of calls to plain services.
+pub(super) struct Endpoint {
+    /// Shared context of the entry.
     pub(super) context: Arc<Context>,
 }
 
 #[async_trait]
-impl Handler for Handle {
+impl Handler for Endpoint {
     async fn handle(
         &self,
         request: &mut Request,
@@ -45,26 +45,26 @@
             return;
         };
         let timeout = self.context.settings.services.read_timeout;
-        match self.answer(request, &caller).await {
+        match self.run(request, &caller).await {
             Ok(reply) => render(reply, timeout, response),
             Err(problem) => problem.render(response),
         }
     }
 }
 
-impl Handle {
-    /// Makes the call that a caller asked for.
-    async fn answer(&self, request: &mut Request, caller: &Caller) -> Result<Reply, Problem> {
+impl Endpoint {
+    /// Runs the call of a request.
+    async fn run(&self, request: &mut Request, caller: &Caller) -> Result<Reply, Problem> {
         let now = self.context.clock.now();
         let name = request.param::<String>("service").unwrap_or_default();
         let service = self.service(&name)?;
         let _holding = self.context.stops.holding.request();
         let identifier = self.identifier(request)?;
         let deadline = now + self.timeout(request)?;
-        let _hold = self.room(request)?;
+        let _reservation = self.reserve_body(request)?;
         let body = read_body(request, self.context.settings.callers.body_limit).await?;
-        let call = self.call(request, caller, body);
-        let order = Order {
+        let call = self.backend_call(request, caller, body);
+        let call = calls::Request {
             account: Arc::clone(&caller.account),
             idempotent: idempotent(&service, &call),
             service,
@@ -72,19 +72,17 @@
             identifier,
             deadline,
         };
-        let name = order.service.name.clone();
-        let answer = calls::run(&self.context, order).await;
-        let answer = answer.map_err(|error| problem(&error));
-        self.count(&name, answer.as_ref().err());
-        answer
+        let name = call.service.name.clone();
+        let result = calls::run(&self.context, call).await;
+        let result = result.map_err(|error| problem(&error));
+        self.count_request(&name, result.as_ref().err());
+        result
     }
 
-    /// Counts a call of a declared service.
-    fn count(&self, service: &str, problem: Option<&Problem>) {
-        let outcome = problem.map_or(Outcome::Ran, Problem::outcome);
-        self.context
-            .metrics
-            .count_request(service, outcome.as_str());
+    /// Counts a call of a declared service by its run status.
+    fn count_request(&self, service: &str, problem: Option<&Problem>) {
+        let status = problem.map_or(RunStatus::Ran, Problem::run_status);
+        self.context.metrics.count_request(service, status.as_str());
     }
 
     /// Returns the declaration of a plain service.
@@ -94,10 +92,10 @@
             .service(name)
             .filter(|service| service.kind() == ServiceKind::Plain)
             .cloned()
-            .ok_or_else(|| unknown(name))
+            .ok_or_else(|| unknown_service(name))
     }
 
-    /// Returns the caller's identifier of the call, checked.
+    /// Returns the caller's identifier of the call after checking it.
     fn identifier(&self, request: &Request) -> Result<Option<Identifier>, Problem> {
         let Some(value) = request.headers().get(IDENTIFIER) else {
             return Ok(None);
@@ -109,16 +107,16 @@
         let window = claims::window(&self.context.settings.services);
         let checked = Identifier::check(&text, now, window);
         checked.map(Some).map_err(|error| {
-            let outcome = match error {
-                // An earlier call under it may have run; its claim is no longer kept.
-                identifier::Error::TooOld { .. } => Outcome::Unknown,
-                _ => Outcome::NotRun,
+            let run_status = match error {
+                // An earlier call under it may have run, but its claim has been removed.
+                identifier::Error::TooOld { .. } => RunStatus::Unknown,
+                _ => RunStatus::NotRun,
             };
-            Problem::new(Kind::BadIdentifier, outcome, error.to_string())
+            Problem::new(Kind::BadIdentifier, run_status, error.to_string())
         })
     }
 
-    /// Returns how long the call may take.
+    /// Returns the timeout of the call.
     fn timeout(&self, request: &Request) -> Result<Duration, Problem> {
         let Some(value) = request.headers().get(TIMEOUT) else {
             return Ok(self.context.settings.services.deadline);
@@ -130,29 +128,31 @@
         let longest = self.context.settings.callers.answer_timeout;
         timeout.map(|timeout| timeout.min(longest)).ok_or_else(|| {
             let message = format!("write `{TIMEOUT}` as milliseconds above zero");
-            Problem::new(Kind::BadRequest, Outcome::NotRun, message)
+            Problem::new(Kind::BadRequest, RunStatus::NotRun, message)
         })
     }
 
-    /// Takes room for a request's body.
-    fn room(&self, request: &Request) -> Result<Hold, Problem> {
+    /// Reserves memory for a request's body.
+    fn reserve_body(&self, request: &Request) -> Result<Hold, Problem> {
         let limit = self.context.settings.callers.body_limit;
         let chunked = request.headers().contains_key("transfer-encoding");
-        let unknown = if chunked { limit } else { 0 };
-        let declared = request.header::<usize>("content-length").unwrap_or(unknown);
+        let undeclared = if chunked { limit } else { 0 };
+        let declared = request
+            .header::<usize>("content-length")
+            .unwrap_or(undeclared);
         let budget = &self.context.calls.budget;
-        // Room for the answer is looked for before the call runs, while refusing it is harmless.
-        let answerable = budget.free() >= self.context.settings.services.answer_limit;
-        let hold = budget.take(declared.min(limit));
-        hold.filter(|_| answerable).ok_or_else(|| {
+        // Memory for the response is checked before the call runs, while it can still be refused safely.
+        let response_fits = budget.free() >= self.context.settings.services.answer_limit;
+        let reservation = budget.take(declared.min(limit));
+        reservation.filter(|_| response_fits).ok_or_else(|| {
             let message =
                 "this entry holds too many bodies and answers; try again later or at another entry";
-            Problem::new(Kind::Overloaded, Outcome::NotRun, message)
+            Problem::new(Kind::Overloaded, RunStatus::NotRun, message)
         })
     }
 
-    /// Returns the call to send.
-    fn call(&self, request: &Request, caller: &Caller, body: Bytes) -> Call {
+    /// Returns the call to send to the backend server.
+    fn backend_call(&self, request: &Request, caller: &Caller, body: Bytes) -> Call {
         let rest = request.param::<String>("rest").unwrap_or_default();
         let query = request
             .uri()
@@ -174,7 +174,7 @@
     }
 }
 
-/// Returns the trace context of a request if it is well-formed; a malformed one is not passed on.
+/// Returns the W3C trace context of a request if it is well formed.
 fn traceparent(request: &Request) -> Option<Arc<str>> {
     let text = request.header::<String>("traceparent")?;
     let well_formed = text.len() >= TRACEPARENT_LENGTH
@@ -184,37 +184,37 @@
     well_formed.then(|| Arc::from(text))
 }
 
-/// Returns the problem that a caller is told.
+/// Converts the error of a call into the problem that the caller receives.
 fn problem(error: &calls::Error) -> Problem {
     use medlarfall_coordination::claim::Reason;
-    let (kind, outcome) = match error {
-        calls::Error::NotRun { .. } => (Kind::Unavailable, Outcome::NotRun),
-        calls::Error::Timeout { .. } => (Kind::Timeout, Outcome::Unknown),
-        calls::Error::Oversized => (Kind::AnswerTooLarge, Outcome::Ran),
-        calls::Error::AnswerNotKept { .. } => (Kind::AnswerNotKept, Outcome::Ran),
+    let (kind, run_status) = match error {
+        calls::Error::NotRun { .. } => (Kind::Unavailable, RunStatus::NotRun),
+        calls::Error::Timeout { .. } => (Kind::Timeout, RunStatus::Unknown),
+        calls::Error::Oversized => (Kind::AnswerTooLarge, RunStatus::Ran),
+        calls::Error::AnswerNotKept { .. } => (Kind::AnswerNotKept, RunStatus::Ran),
         calls::Error::Refused {
             reason: Reason::Mismatch,
-        } => (Kind::BadIdentifier, Outcome::NotRun),
-        calls::Error::Refused { .. } => (Kind::StoreUnavailable, Outcome::NotRun),
+        } => (Kind::BadIdentifier, RunStatus::NotRun),
+        calls::Error::Refused { .. } => (Kind::StoreUnavailable, RunStatus::NotRun),
         calls::Error::Uncertain {
             reason: Reason::StillRunning,
-        } => (Kind::StillRunning, Outcome::Unknown),
+        } => (Kind::StillRunning, RunStatus::Unknown),
         calls::Error::AnswerLost | calls::Error::Uncertain { .. } => {
-            (Kind::AnswerLost, Outcome::Unknown)
+            (Kind::AnswerLost, RunStatus::Unknown)
         }
     };
-    Problem::new(kind, outcome, error.to_string())
+    Problem::new(kind, run_status, error.to_string())
 }
 
 /// Returns the problem of a service that is not declared.
-pub(super) fn unknown(name: &str) -> Problem {
+pub(super) fn unknown_service(name: &str) -> Problem {
     let message = format!(
         "no service `{name}` of this kind is declared; check the name or ask your operator"
     );
-    Problem::new(Kind::UnknownService, Outcome::NotRun, message)
+    Problem::new(Kind::UnknownService, RunStatus::NotRun, message)
 }
 
-/// Returns whether running the call twice has the effect of running it once.
+/// Returns whether a call is idempotent: as its longest matching route declares, or by its method.
 fn idempotent(service: &Service, call: &Call) -> bool {
     let method = call.method.as_str();
     let declared = service
@@ -232,7 +232,7 @@
 pub(super) async fn read_body(request: &mut Request, limit: usize) -> Result<Bytes, Problem> {
     let too_large = || {
         let message = format!("the body is larger than {limit} bytes; send a smaller one");
-        Problem::new(Kind::TooLarge, Outcome::NotRun, message)
+        Problem::new(Kind::TooLarge, RunStatus::NotRun, message)
     };
     let declared = request.header::<usize>("content-length").unwrap_or(0);
     if declared > limit {
@@ -243,15 +243,16 @@
         Err(salvo::http::ParseError::PayloadTooLarge) => Err(too_large()),
         Err(error) => {
             let message = format!("the body did not arrive whole: {error}; send it again, faster");
-            Err(Problem::new(Kind::TooSlow, Outcome::NotRun, message))
+            Err(Problem::new(Kind::TooSlow, RunStatus::NotRun, message))
         }
     }
 }
 
-/// Writes a plain service's answer, which the caller must have read within `timeout`.
+/// Writes a plain service's response, which is dropped if the caller does not read it within
+/// `timeout`.
 fn render(reply: Reply, timeout: Duration, response: &mut Response) {
     response.status_code(StatusCode::from_u16(reply.status).unwrap_or(StatusCode::BAD_GATEWAY));
-    let _ = response.add_header(RUN, Outcome::Ran.as_str(), true);
+    let _ = response.add_header(RUN, RunStatus::Ran.as_str(), true);
     if let Some(content_type) = reply.content_type {
         let _ = response.add_header("content-type", content_type.as_ref(), true);
     }
--- a/serving/src/modules/calls.rs
+++ b/serving/src/modules/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to plain services: how often they are sent, and what the caller may conclude.
+//! Calls to plain services: their execution, their retry budgets and their errors.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -27,88 +27,88 @@
 /// Retries allowed to a service before its first success.
 const RETRY_RESERVE: f64 = 10.0;
 
-/// Most retries to one service that are saved up.
+/// Most unused retries to one service that accumulate.
 const RETRY_CEILING: f64 = 100.0;
 
-/// What calls to plain services share.
+/// State shared by all calls to plain services.
 #[derive(Debug)]
 pub struct Calls {
-    /// Budget of the bytes of bodies and answers.
+    /// Memory budget of request bodies and responses, in bytes.
     pub budget: Budget,
     policy: retry_budget::Policy,
     retries: Mutex<Retries>,
 }
 
-/// Retry budgets by service, and the source of jitter.
+/// Retry budgets by service, and the random generator of the backoff jitter.
 #[derive(Debug)]
 struct Retries {
     budgets: BTreeMap<String, retry_budget::Budget>,
     rng: ChaCha8Rng,
 }
 
-/// A call that a caller asked for.
+/// A caller's request for a call.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Request {
     /// Client account of the caller.
     pub account: Arc<str>,
-    /// Service that is called.
+    /// The service to call.
     pub service: Arc<Service>,
-    /// The call.
+    /// The call to a backend server.
     pub call: Call,
     /// Whether running the call twice has the effect of running it once.
     pub idempotent: bool,
-    /// The caller's identifier of the call.
+    /// The caller's idempotency identifier of the call.
     pub identifier: Option<Identifier>,
     /// Time of the entry's clock until which the call may take.
     pub deadline: Duration,
 }
 
-/// Why a call has no answer.
+/// Reason why a call has no response for the caller.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
     /// No backend server ran the call.
     #[snafu(display("no backend server ran the call: {reason}; try again later"))]
     NotRun {
-        /// What happened.
+        /// Reason why it was not run.
         reason: String,
     },
-    /// The call may have run: its answer was lost.
+    /// The call may have run: its response was lost.
     #[snafu(display(
         "the call may have run and its answer was lost; read the record before you decide to repeat it"
     ))]
     AnswerLost,
-    /// The call may have run: its answer did not come in time.
+    /// The call may have run: its response did not arrive in time.
     #[snafu(display(
         "the service did not answer within {} ms and the call may have run; read the record before you decide to repeat it",
         timeout.as_millis()
     ))]
     Timeout {
-        /// The timeout.
+        /// Timeout of the attempt.
         timeout: Duration,
     },
-    /// The call ran, but its answer is larger than the limit or the room that is left.
+    /// The call ran, but its response exceeds the limit or the remaining memory budget.
     #[snafu(display(
         "the call ran, but its answer is larger than `services.answer_limit` or than the room that is left; read the record instead"
     ))]
     Oversized,
-    /// The call ran before, but its answer was too large to be kept.
+    /// The call ran before, but its response was too large to be stored.
     #[snafu(display(
         "the call ran before with status {status}; its answer was too large to be kept: read the record instead"
     ))]
     AnswerNotKept {
-        /// HTTP status of the answer.
+        /// HTTP status of the response.
         status: u16,
     },
     /// The call was refused because of its identifier.
-    #[snafu(display("{}", refusal(*reason)))]
+    #[snafu(display("{}", refusal_message(*reason)))]
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: Reason,
     },
     /// An earlier call under the identifier may have run.
-    #[snafu(display("{}", doubt(*reason)))]
+    #[snafu(display("{}", uncertainty_message(*reason)))]
     Uncertain {
-        /// Why.
+        /// Reason of the uncertainty.
         reason: Reason,
     },
 }
@@ -122,8 +122,8 @@
     }
 }
 
-/// Returns why a call under an identifier was refused, and the remedy.
-fn refusal(reason: Reason) -> &'static str {
+/// Returns the caller's message for a refused identifier, with the remedy.
+fn refusal_message(reason: Reason) -> &'static str {
     match reason {
         Reason::Mismatch => {
             "the identifier belongs to another request; send a new one with each new call"
@@ -137,8 +137,8 @@
     }
 }
 
-/// Returns why it is not known whether a call under an identifier ran, and the remedy.
-fn doubt(reason: Reason) -> &'static str {
+/// Returns the caller's message for an identifier whose earlier call may have run, with the remedy.
+fn uncertainty_message(reason: Reason) -> &'static str {
     match reason {
         Reason::StillRunning => {
             "an earlier call under this identifier is still running; ask again later with the same identifier"
@@ -150,7 +150,7 @@
 }
 
 impl Calls {
-    /// Returns the state of an entry that has made no calls.
+    /// Returns the state of an entry without calls.
     #[must_use]
     pub fn new(identity: &Identity, settings: &Services) -> Self {
         let percent = u32::try_from(settings.retry_percent).unwrap_or(u32::MAX);
@@ -168,15 +168,16 @@
         }
     }
 
-    /// Counts a success of a service.
-    fn succeeded(&self, service: &str) {
+    /// Records a success in a service's retry budget.
+    fn record_success(&self, service: &str) {
         self.lock().budget(service, self.policy).succeeded();
     }
 
-    /// Returns the pause before retry number `retry` of a call, or nothing if there shall be none.
-    fn retry(&self, service: &str, retry: u32, remains: Duration) -> Option<Duration> {
+    /// Returns the pause before retry number `retry` of a call, or nothing if the remaining time or the
+    /// retry budget does not allow it.
+    fn next_retry(&self, service: &str, retry: u32, remaining: Duration) -> Option<Duration> {
         let mut retries = self.lock();
-        let pause = attempts::BACKOFF.pause(retry, remains, &mut retries.rng)?;
+        let pause = attempts::BACKOFF.pause(retry, remaining, &mut retries.rng)?;
         retries
             .budget(service, self.policy)
             .withdraw()
@@ -189,7 +190,7 @@
 }
 
 impl Retries {
-    /// Returns the budget of a service.
+    /// Returns the retry budget of a service.
     fn budget(&mut self, service: &str, policy: retry_budget::Policy) -> &mut retry_budget::Budget {
         self.budgets
             .entry(service.to_owned())
@@ -197,27 +198,27 @@
     }
 }
 
-impl Order {
-    /// Returns the time that remains for the call.
+impl Request {
+    /// Returns the time that remains until the deadline.
     #[must_use]
     pub fn remaining(&self, context: &Context) -> Duration {
         self.deadline.saturating_sub(context.clock.now())
     }
 }
 
-/// Makes a call, in a task of its own that goes on when the caller has gone.
+/// Runs a call in a task of its own, which continues if the caller disconnects.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer, and whether the call may have run.
-pub async fn run(context: &Arc<Context>, mut order: Order) -> Result<Reply, Error> {
+/// Returns the reason why there is no response, and whether the call may have run.
+pub async fn run(context: &Arc<Context>, mut request: Request) -> Result<Reply, Error> {
     let context = Arc::clone(context);
     let task = tokio::spawn(
         async move {
             let stop = context.stop.clone();
             tokio::select! {
                 () = stop.cancelled() => Err(Error::AnswerLost),
-                answer = make(&context, &mut order) => answer,
+                result = execute(&context, &mut request) => result,
             }
         }
         .in_span(telemetry::hop("call")),
@@ -225,12 +226,14 @@
     task.await.unwrap_or(Err(Error::AnswerLost))
 }
 
-/// Makes a call, under its identifier if it has one and needs it.
-async fn make(context: &Arc<Context>, order: &mut Order) -> Result<Reply, Error> {
-    match order.identifier {
-        Some(identifier) if !order.idempotent => claims::run::run(context, order, identifier).await,
-        _ => match attempts::admit(context, order).await {
-            Ok(permit) => attempts::run(context, order, permit).await.into_result(),
+/// Runs a call; a call with an identifier that is not idempotent runs under a claim.
+async fn execute(context: &Arc<Context>, request: &mut Request) -> Result<Reply, Error> {
+    match request.identifier {
+        Some(identifier) if !request.idempotent => {
+            claims::run::run(context, request, identifier).await
+        }
+        _ => match attempts::admit(context, request).await {
+            Ok(permit) => attempts::run(context, request, permit).await.into_result(),
             Err(refusal) => Err(Error::not_admitted(&refusal)),
         },
     }
--- a/serving/src/modules/calls/attempts.rs
+++ b/serving/src/modules/calls/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts at one call: again only if it was truly not run or may be repeated, if the retry
-//! budget allows it and the deadline leaves time.
+//! The attempts of one call. A call is retried only if it certainly did not run or is idempotent, and
+//! only while the retry budget and the deadline allow it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use medlarfall_coordination::retry_budget::Backoff;
 use uuid::Uuid;
 
-use super::{Error, Order};
+use super::{Error, Request};
 use crate::backend::{self, Reply, Service as _};
 use crate::context::Context;
 use crate::modules::admission::{Outcome, Permit, Refusal, Requirements};
@@ -21,29 +21,29 @@
     ceiling: Duration::from_secs(1),
 };
 
-/// Lowest HTTP status that counts against a version that is being moved to.
+/// Lowest HTTP status that a move counts as a failure of the new version.
 const CLIENT_ERROR: u16 = 400;
 
-/// Lowest HTTP status that does not count as a success.
+/// Lowest HTTP status that counts as a failure of the server.
 const SERVER_ERROR: u16 = 500;
 
-/// How the attempts at a call ended.
+/// Outcome of the attempts of a call.
 #[derive(Clone, Debug)]
 pub enum CallOutcome {
-    /// The call ran.
+    /// The call ran, with this response.
     Replied(Reply),
-    /// No attempt ran.
+    /// No attempt ran; holds the reason of the last one.
     NotRun(String),
     /// An attempt may have run.
     Unknown(Error),
 }
 
 impl CallOutcome {
-    /// Returns what the caller is told.
+    /// Converts the outcome into the result for the caller.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer.
+    /// Returns the reason why there is no response.
     pub fn into_result(self) -> Result<Reply, Error> {
         match self {
             Self::Replied(reply) if reply.oversized => Err(Error::Oversized),
@@ -54,52 +54,56 @@
     }
 }
 
-/// Waits for a backend server that can take the first attempt.
+/// Waits for a permit for the first attempt.
 ///
 /// # Errors
 ///
-/// Returns why the call was not admitted; it was not run.
-pub async fn admit(context: &Context, order: &Order) -> Result<Permit, Refusal> {
-    ask(context, order, &[]).await
+/// Returns the reason why the call was not admitted; it was not run.
+pub async fn admit(context: &Context, request: &Request) -> Result<Permit, Refusal> {
+    acquire_permit(context, request, &[]).await
 }
 
-/// Makes the attempts at a call, the first under `permit`.
-pub async fn run(context: &Context, order: &mut Order, permit: Permit) -> CallOutcome {
+/// Makes the attempts of a call, the first with `permit`.
+pub async fn run(context: &Context, request: &mut Request, permit: Permit) -> CallOutcome {
     let mut tried = vec![Arc::clone(&permit.server.name)];
-    let mut last = send(context, order, permit).await;
+    let mut last = send(context, request, permit).await;
     for retry in 1..context.settings.services.attempts {
-        if ended(order, &last) || !pause(context, order, retry).await {
+        if is_final(request, &last) || !wait_before_retry(context, request, retry).await {
             break;
         }
-        let Ok(permit) = ask(context, order, &tried).await else {
+        let Ok(permit) = acquire_permit(context, request, &tried).await else {
             break;
         };
         tried.push(Arc::clone(&permit.server.name));
-        let sent = send(context, order, permit).await;
-        last = match (sent, last) {
-            // An earlier attempt may have run, whatever became of this one.
+        let outcome = send(context, request, permit).await;
+        last = match (outcome, last) {
+            // An earlier attempt may have run although this one did not.
             (CallOutcome::NotRun(_), CallOutcome::Unknown(error)) => CallOutcome::Unknown(error),
-            (sent, _) => sent,
+            (outcome, _) => outcome,
         };
     }
     last
 }
 
-/// Returns whether a call must not be sent again.
-fn ended(order: &Order, last: &CallOutcome) -> bool {
+/// Returns whether a call must not be retried after an outcome.
+fn is_final(request: &Request, last: &CallOutcome) -> bool {
     match last {
         CallOutcome::Replied(_) => true,
         CallOutcome::NotRun(_) => false,
-        CallOutcome::Unknown(_) => !order.idempotent,
+        CallOutcome::Unknown(_) => !request.idempotent,
     }
 }
 
-/// Waits for a backend server, one that was not tried if there is such.
-async fn ask(context: &Context, order: &Order, tried: &[Arc<str>]) -> Result<Permit, Refusal> {
-    let service = &order.service;
-    // What is sent again does not meet an unproved version twice.
+/// Waits for a permit, for a server that was not tried if there is one.
+async fn acquire_permit(
+    context: &Context,
+    request: &Request,
+    tried: &[Arc<str>],
+) -> Result<Permit, Refusal> {
+    let service = &request.service;
+    // A retry goes to the version in force, so that a call meets the new version of a move only once.
     let version = match tried {
-        [] => moves::version(context, service, &order.call.request_id),
+        [] => moves::version(context, service, &request.call.request_id),
         _ => moves::in_force(context, service),
     };
     let directory = Arc::clone(&context.directory.borrow());
@@ -108,13 +112,13 @@
         .iter()
         .filter(|server| server.version == version && !server.leaving)
         .any(|server| !tried.contains(&server.name));
-    let wait = order
+    let wait = request
         .remaining(context)
         .min(context.settings.services.call_timeout);
-    let need = Requirements {
+    let requirements = Requirements {
         service: Arc::from(service.name.as_str()),
         version,
-        account: Arc::clone(&order.account),
+        account: Arc::clone(&request.account),
         weight: 1,
         priority: 0,
         tokens: 1,
@@ -122,14 +126,17 @@
         deadline: context.clock.now() + wait,
         excluded: if untried { tried.to_vec() } else { Vec::new() },
     };
-    context.admission.acquire(need).await
+    context.admission.acquire(requirements).await
 }
 
-/// Waits before a retry; returns whether there shall be one.
-async fn pause(context: &Context, order: &Order, retry: usize) -> bool {
+/// Waits for the backoff before a retry; returns false if no retry is allowed.
+async fn wait_before_retry(context: &Context, request: &Request, retry: usize) -> bool {
     let retry = u32::try_from(retry).unwrap_or(u32::MAX);
-    let remains = order.remaining(context);
-    match context.calls.retry(&order.service.name, retry, remains) {
+    let remaining = request.remaining(context);
+    match context
+        .calls
+        .next_retry(&request.service.name, retry, remaining)
+    {
         Some(pause) => {
             tokio::time::sleep(pause).await;
             true
@@ -139,33 +146,33 @@
 }
 
 /// Makes one attempt.
-async fn send(context: &Context, order: &mut Order, permit: Permit) -> CallOutcome {
+async fn send(context: &Context, request: &mut Request, permit: Permit) -> CallOutcome {
     let longest = context.settings.services.call_timeout;
-    let timeout = order.remaining(context).min(longest);
+    let timeout = request.remaining(context).min(longest);
     if timeout.is_zero() {
         return CallOutcome::NotRun("the deadline is over".to_owned());
     }
-    order.call.attempt += 1;
-    order.call.timeout = timeout;
+    request.call.attempt += 1;
+    request.call.timeout = timeout;
     let server = &permit.server;
     let _holding = context.stops.holding.attempt(&server.name);
-    let route = moves::route(order.call.method.as_str(), &order.call.path);
+    let route = moves::route(request.call.method.as_str(), &request.call.path);
     let probe = moves::probe(
         context,
-        &order.service.name,
+        &request.service.name,
         &server.version,
         &server.name,
         &route,
     );
     let span = telemetry::hop("attempt");
     if let Some(traceparent) = telemetry::traceparent_of(&span) {
-        order.call.traceparent = Some(Arc::from(traceparent));
+        request.call.traceparent = Some(Arc::from(traceparent));
     }
-    let answer = context.backend.call(server, &order.call);
-    let answer = tokio::time::timeout(timeout, answer.in_span(span)).await;
-    let good = matches!(&answer, Ok(Ok(reply)) if reply.status < CLIENT_ERROR && !reply.not_run);
-    probe.end_call(!good, !matches!(answer, Ok(Ok(_))));
-    let (sent, outcome) = match answer {
+    let response = context.backend.call(server, &request.call);
+    let response = tokio::time::timeout(timeout, response.in_span(span)).await;
+    let good = matches!(&response, Ok(Ok(reply)) if reply.status < CLIENT_ERROR && !reply.not_run);
+    probe.end_call(!good, !matches!(response, Ok(Ok(_))));
+    let (call_outcome, server_outcome) = match response {
         Ok(Ok(reply)) if reply.not_run => {
             let reason = format!("{} refused it", permit.server.name);
             (CallOutcome::NotRun(reason), Some(Outcome::Failed))
@@ -174,7 +181,7 @@
             (CallOutcome::Replied(reply), Some(Outcome::Failed))
         }
         Ok(Ok(reply)) => {
-            context.calls.succeeded(&order.service.name);
+            context.calls.record_success(&request.service.name);
             (CallOutcome::Replied(reply), Some(Outcome::Succeeded))
         }
         Ok(Err(backend::Error::NotRun { reason })) => {
@@ -184,14 +191,14 @@
             CallOutcome::Unknown(Error::AnswerLost),
             Some(Outcome::Failed),
         ),
-        // A caller in a hurry says nothing about the server.
+        // A timeout that the caller shortened is no evidence against the server.
         Err(_) => {
             let failed = (timeout == longest).then_some(Outcome::Failed);
             (CallOutcome::Unknown(Error::Timeout { timeout }), failed)
         }
     };
-    if let Some(outcome) = outcome {
+    if let Some(outcome) = server_outcome {
         permit.report(outcome);
     }
-    sent
+    call_outcome
 }
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -13,7 +13,7 @@
 use crate::backend::Reply;
 use crate::context::Context;
 use crate::modules::calls::attempts::{self, CallOutcome};
-use crate::modules::calls::{Error, Order};
+use crate::modules::calls::{Error, Request};
 use crate::modules::peers::CALL_TIMEOUT;
 use crate::platform::{self, Item, Store};
 
@@ -30,7 +30,7 @@
 /// Returns why there is no answer, and whether the call may have run.
 pub async fn run(
     context: &Arc<Context>,
-    order: &mut Order,
+    order: &mut Request,
     identifier: Identifier,
 ) -> Result<Reply, Error> {
     let key = identifier.key(&order.account, &order.service.name);
@@ -88,7 +88,7 @@
 /// Bounds a call to the store by the order's deadline; over it nothing more is tried.
 async fn within<T>(
     context: &Context,
-    order: &Order,
+    order: &Request,
     call: impl Future<Output = Result<T, platform::Error>>,
 ) -> Result<T, platform::Error> {
     let deadline = context.clock.instant(order.deadline);
@@ -101,7 +101,7 @@
 }
 
 /// Asks a claimer for its word.
-async fn ask(context: &Context, order: &Order, claimer: &Claimer) -> Option<Word> {
+async fn ask(context: &Context, order: &Request, claimer: &Claimer) -> Option<Word> {
     let wait = order.remaining(context).min(CALL_TIMEOUT);
     let own = context.claims.wait(claimer, wait).await;
     if own.is_some() {
--- a/serving/src/modules/generation.rs
+++ b/serving/src/modules/generation.rs
@@ -1,4 +1,4 @@
-//! The task that owns a generation: its journal, its attempts and its delivery to the caller.
+//! The task of a generation: it owns the journal and the attempts, and delivers tokens to the caller.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::backend::{Engine, Generate, Reference, Server};
 use crate::configs;
 use crate::context::Context;
-use crate::modules::admission::{Outcome as Report, Permit, Refusal};
+use crate::modules::admission::{Outcome as ServerOutcome, Permit, Refusal};
 use crate::modules::moves::{self, Probe};
 use crate::modules::stops::handover::Prepared;
 use crate::modules::stops::{self, holding};
@@ -27,17 +27,16 @@
 mod request;
 mod silence;
 
-pub use request::{Error, Event, Order, Origin, Resumption};
+pub use request::{Error, Event, Origin, Request, Resumption};
 
 use attempt::Outcome;
 use exclusion::Exclusion;
-use outbox::{Demand, Outbox, Reader};
-use silence::Watch;
+use outbox::{Outbox, Reader, ReaderState};
 
-/// Pause between two clearances of what was learnt of servers that have gone.
-const UPKEEP_INTERVAL: Duration = Duration::from_secs(30);
+/// Interval between removals of detector records of unlisted servers.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Returns the failure detector of an entry.
+/// Returns an empty failure detector with the limits from the settings.
 #[must_use]
 pub fn detector(settings: &configs::generation::Generation) -> Mutex<Detector> {
     Mutex::new(Detector::new(Bounds {
@@ -46,13 +45,13 @@
     }))
 }
 
-/// Starts the task that forgets what was learnt of servers that have gone.
+/// Starts the task that removes the detector's records of servers that are no longer listed.
 pub fn start_detector_cleanup(context: Arc<Context>) {
     let stop = context.stop.clone();
     tokio::spawn(async move {
-        let upkeep = async {
+        let cleanup = async {
             loop {
-                time::sleep(UPKEEP_INTERVAL).await;
+                time::sleep(CLEANUP_INTERVAL).await;
                 let directory = Arc::clone(&context.directory.borrow());
                 silence::lock(&context.detector)
                     .retain(|subject| directory.find(&subject.server).is_some());
@@ -60,24 +59,24 @@
         };
         tokio::select! {
             () = stop.cancelled() => {}
-            () = upkeep => {}
+            () = cleanup => {}
         }
     });
 }
 
-/// Starts the task of a generation and returns what the caller is told.
+/// Starts the task of a generation and returns the reader of its events.
 #[must_use]
-pub fn start(context: Arc<Context>, order: Order) -> Reader {
+pub fn start(context: Arc<Context>, request: Request) -> Reader {
     let limit = context.settings.generation.buffered_bytes;
     let (outbox, reader) = outbox::open(&context.held, limit);
     tokio::spawn(
         async move {
             let stop = context.stop.clone();
-            let window = Arc::clone(&context);
-            let mut task = Task::new(context, order, outbox);
+            let stop_window = Arc::clone(&context);
+            let mut task = Task::new(context, request, outbox);
             tokio::select! {
-                () = stop.cancelled() => task.leave(),
-                () = stops::window_over(&window) => task.leave(),
+                () = stop.cancelled() => task.report_stopping(),
+                () = stops::window_over(&stop_window) => task.report_stopping(),
                 () = task.run() => {}
             }
         }
@@ -86,185 +85,197 @@
     reader
 }
 
-/// What was delivered through another entry and is not held here.
+/// Tokens that were delivered through another entry and whose text this entry does not have.
+///
+/// They are generated again and compared by their hash, and are not delivered twice.
 #[derive(Clone, Copy, Debug)]
-struct Skip {
+struct DeliveredPrefix {
     /// Number of tokens.
     tokens: u64,
-    /// Hash that they must have.
+    /// Expected hash of these tokens.
     expected: resume_token::Digest,
-    /// Hash of those seen so far.
-    seen: resume_token::Digest,
+    /// Hash of the tokens generated again so far.
+    actual: resume_token::Digest,
 }
 
-/// An attempt that runs on an engine.
+/// An attempt that is running on an engine.
 struct Running {
     server: Arc<Server>,
     attempt: Attempt,
-    /// Holds the engine's memory; absent for an attempt that another entry began.
+    /// Reservation of the engine's memory; absent for an attempt that another entry started.
     permit: Option<Permit>,
-    /// Tells a move what the attempt shows; absent for an attempt that another entry began.
+    /// Reports the attempt's behaviour to a move; absent for an attempt that another entry started.
     probe: Option<Probe>,
-    /// Counts the attempt among those that hold the engine.
+    /// Counts the attempt among those in progress on the engine.
     _holding: holding::Attempt,
 }
 
 /// A generation in progress.
 struct Task {
     context: Arc<Context>,
-    order: Order,
+    request: Request,
     journal: Journal,
     outbox: Outbox,
     exclusion: Exclusion,
-    /// The attempt that runs on an engine.
+    /// The attempt that is running on an engine.
     running: Option<Running>,
-    /// Where the running attempt's tokens come from.
+    /// Origin of the running attempt's tokens.
     origin: Arc<Origin>,
-    skip: Option<Skip>,
+    delivered_prefix: Option<DeliveredPrefix>,
 }
 
 impl Task {
-    /// Returns a generation of which this entry has done nothing yet.
-    fn new(context: Arc<Context>, order: Order, outbox: Outbox) -> Self {
+    /// Returns the task of a generation that has not started at this entry.
+    fn new(context: Arc<Context>, request: Request, outbox: Outbox) -> Self {
         let mut journal = Journal::new();
-        let mut skip = None;
-        if let Some(Resumption { token, held }) = &order.resumption {
+        let mut delivered_prefix = None;
+        if let Some(Resumption { token, received }) = &request.resumption {
             context.metrics.generations_resumed.inc();
-            journal = Journal::restore(held.clone().unwrap_or_default(), Attempt(token.attempt));
-            skip = held.is_none().then_some(Skip {
+            journal =
+                Journal::restore(received.clone().unwrap_or_default(), Attempt(token.attempt));
+            delivered_prefix = received.is_none().then_some(DeliveredPrefix {
                 tokens: token.index + 1,
                 expected: token.delivered,
-                seen: resume_token::Digest::default(),
+                actual: resume_token::Digest::default(),
             });
         }
         let origin = Arc::new(Origin {
-            version: Arc::clone(&order.version),
+            version: Arc::clone(&request.version),
             server: Arc::from(""),
             attempt: 0,
         });
         Self {
             context,
-            order,
+            request,
             journal,
             outbox,
             exclusion: Exclusion::default(),
             running: None,
             origin,
-            skip,
+            delivered_prefix,
         }
     }
 
-    /// Runs the generation until its answer has been read, or until its time is over.
+    /// Runs the generation until its answer has been read or the answer timeout has passed.
     async fn run(&mut self) {
         let deadline = self.context.settings.callers.answer_timeout;
-        let whole = time::timeout(deadline, self.serve()).await;
-        if whole.is_err() {
+        let result = time::timeout(deadline, self.run_attempts()).await;
+        if result.is_err() {
             self.fail(|delivered| Error::Timeout { delivered });
         }
     }
 
-    /// Makes attempts until the answer is whole and read.
-    async fn serve(&mut self) {
-        let mut next = self.taken_up();
-        let mut moved: Option<Box<Prepared>> = None;
-        let mut fruitless = 0;
+    /// Makes attempts until the answer is complete and read, or cannot be completed.
+    async fn run_attempts(&mut self) {
+        let mut resumed = self.resumed_attempt();
+        let mut handed_over: Option<Box<Prepared>> = None;
+        let mut attempts_without_progress = 0;
         loop {
             let before = self.journal.next_index();
-            let outcome = match (moved.take(), next.take()) {
-                (Some(prepared), _) => self.go_on(prepared).await,
+            let outcome = match (handed_over.take(), resumed.take()) {
+                (Some(prepared), _) => self.continue_prepared(prepared).await,
                 (None, Some((server, attempt))) => self.attach(server, attempt).await,
-                (None, None) => match self.permit().await {
+                (None, None) => match self.acquire_permit().await {
                     Ok(permit) => self.attempt(permit).await,
                     Err(outcome) => outcome,
                 },
             };
             let progressed = self.journal.next_index() > before;
             let ended = match outcome {
-                Outcome::Whole(reason) => self.finish(reason).await,
+                Outcome::Complete(reason) => self.finish(reason).await,
                 Outcome::Parked => self.park().await,
-                Outcome::Moved(prepared) => {
-                    self.move_to(&prepared);
-                    moved = Some(prepared);
+                Outcome::HandedOver(prepared) => {
+                    self.switch_to(&prepared);
+                    handed_over = Some(prepared);
                     false
                 }
-                Outcome::CallerGone => self.let_go(),
+                Outcome::CallerDisconnected => self.detach(),
                 Outcome::Diverged => self.fail(|delivered| Error::Diverged { delivered }),
                 Outcome::NotAdmitted(refusal) => self.refuse(refusal),
-                Outcome::Ended => false,
-                Outcome::Refused(reason) => self.pass_over(&reason, false),
+                Outcome::AlreadyEnded => false,
+                Outcome::Refused(reason) => self.record_lost_attempt(&reason, false),
                 Outcome::Lost(reason) => {
-                    fruitless = if progressed { 0 } else { fruitless + 1 };
-                    self.pass_over(&reason, true)
+                    attempts_without_progress = if progressed {
+                        0
+                    } else {
+                        attempts_without_progress + 1
+                    };
+                    self.record_lost_attempt(&reason, true)
                 }
             };
             if ended {
                 return;
             }
-            if fruitless >= self.context.settings.generation.attempts {
+            if attempts_without_progress >= self.context.settings.generation.attempts {
                 self.fail(|delivered| Error::NoServer { delivered });
                 return;
             }
         }
     }
 
-    /// Returns where the generation runs that the caller's resume token names.
-    fn taken_up(&self) -> Option<(Arc<Server>, Attempt)> {
-        let Resumption { token, .. } = self.order.resumption.as_ref()?;
+    /// Returns the attempt named by the caller's resume token, and its server if it is still listed.
+    fn resumed_attempt(&self) -> Option<(Arc<Server>, Attempt)> {
+        let Resumption { token, .. } = self.request.resumption.as_ref()?;
         let directory = Arc::clone(&self.context.directory.borrow());
         let server = directory.find(&token.server)?;
         Some((Arc::clone(server), Attempt(token.attempt)))
     }
 
-    /// Returns the number of tokens delivered, or about to be.
+    /// Returns the number of tokens delivered or queued for delivery.
     fn delivered(&self) -> u64 {
-        let skipped = self.skip.map_or(0, |skip| skip.tokens);
-        self.journal.next_index().max(skipped)
+        let earlier = self.delivered_prefix.map_or(0, |prefix| prefix.tokens);
+        self.journal.next_index().max(earlier)
     }
 
-    /// Makes one attempt on the server that a permit names.
+    /// Makes one attempt on the server of a permit.
     async fn attempt(&mut self, permit: Permit) -> Outcome {
         let attempt = self.journal.begin_attempt();
-        let generate = self.request(attempt, self.journal.tokens().to_vec());
+        let generate = self.generate_request(attempt, self.journal.tokens().to_vec());
         let server = Arc::clone(&permit.server);
-        let mut watch = self.begin(&server, attempt, Some(permit));
+        let mut silence = self.begin_attempt(&server, attempt, Some(permit));
         let backend = self.context.backend.clone();
-        let asked = backend
+        let response = backend
             .generate(&server, &generate)
             .in_span(telemetry::hop("attempt"));
-        self.follow(&mut watch, asked).await
+        self.deliver_frames(&mut silence, response).await
     }
 
-    /// Returns the request of an attempt that resumes after some tokens.
-    fn request(&self, attempt: Attempt, resume: Vec<Arc<str>>) -> Generate {
+    /// Returns the request to an engine for an attempt that resumes after the tokens of `resume`.
+    fn generate_request(&self, attempt: Attempt, resume: Vec<Arc<str>>) -> Generate {
         Generate {
-            request_id: Arc::clone(&self.order.request_id),
+            request_id: Arc::clone(&self.request.request_id),
             attempt: attempt.0,
-            version: Arc::clone(&self.order.version),
-            prompt: Arc::clone(&self.order.prompt),
+            version: Arc::clone(&self.request.version),
+            prompt: Arc::clone(&self.request.prompt),
             resume,
-            max_tokens: self.order.max_tokens,
-            priority: self.order.priority,
+            max_tokens: self.request.max_tokens,
+            priority: self.request.priority,
         }
     }
 
-    /// Reads on from an attempt that runs since before this entry had the generation.
+    /// Attaches to an attempt that another entry or connection started.
     async fn attach(&mut self, server: Arc<Server>, attempt: Attempt) -> Outcome {
         let reference = self.reference(attempt);
-        let mut watch = self.begin(&server, attempt, None);
+        let mut silence = self.begin_attempt(&server, attempt, None);
         let backend = self.context.backend.clone();
-        let asked = backend
+        let response = backend
             .attach(&server, &reference)
             .in_span(telemetry::hop("attempt"));
-        match self.follow(&mut watch, asked).await {
-            Outcome::Refused(_) => Outcome::Ended,
+        match self.deliver_frames(&mut silence, response).await {
+            Outcome::Refused(_) => Outcome::AlreadyEnded,
             outcome => outcome,
         }
     }
 
-    /// Notes that an attempt runs on a server and starts to watch its silence.
-    fn begin(&mut self, server: &Arc<Server>, attempt: Attempt, permit: Option<Permit>) -> Watch {
+    /// Records the running attempt and starts its silence timer.
+    fn begin_attempt(
+        &mut self,
+        server: &Arc<Server>,
+        attempt: Attempt,
+        permit: Option<Permit>,
+    ) -> silence::Timer {
         let probe = permit.is_some().then(|| {
-            let (service, version) = (&self.order.service, &self.order.version);
+            let (service, version) = (&self.request.service, &self.request.version);
             moves::probe(&self.context, service, version, &server.name, "")
         });
         self.running = Some(Running {
@@ -275,126 +286,133 @@
             _holding: self.context.stops.holding.attempt(&server.name),
         });
         self.origin = Arc::new(Origin {
-            version: Arc::clone(&self.order.version),
+            version: Arc::clone(&self.request.version),
             server: Arc::clone(&server.name),
             attempt: attempt.0,
         });
-        Watch::start(&self.context.detector, &self.order, server)
+        silence::Timer::start(&self.context.detector, &self.request, server)
     }
 
-    /// Notes an attempt that was refused or lost, and passes its server over for a while.
-    fn pass_over(&mut self, reason: &str, lost: bool) -> bool {
+    /// Records an attempt that was refused or lost, and excludes its server for a while.
+    ///
+    /// Returns false, since the generation continues with another attempt.
+    fn record_lost_attempt(&mut self, reason: &str, lost: bool) -> bool {
         if let Some(running) = &self.running {
-            let request = self.order.request_id.as_ref();
+            let request = self.request.request_id.as_ref();
             let server = running.server.name.as_ref();
             log::warn!(request, server, reason; "attempt lost");
             self.context.metrics.attempts_lost.inc();
             self.exclusion
-                .lost(&running.server, self.context.clock.now());
+                .record_loss(&running.server, self.context.clock.now());
         }
-        self.report(Report::Failed);
+        self.report_outcome(ServerOutcome::Failed);
         if lost {
             self.cancel_running();
         }
         self.running = None;
-        self.take_version_in_force();
+        self.use_version_in_force();
         false
     }
 
-    /// Tells admission, and a move if there is one, how the running attempt went.
-    fn report(&mut self, report: Report) {
+    /// Reports the outcome of the running attempt to admission, and to a move if there is one.
+    fn report_outcome(&mut self, outcome: ServerOutcome) {
         let probe = self
             .running
             .as_mut()
             .and_then(|running| running.probe.take());
         if let Some(probe) = probe {
-            probe.end(report == Report::Failed);
+            probe.end(outcome == ServerOutcome::Failed);
         }
         let permit = self
             .running
             .as_ref()
             .and_then(|running| running.permit.as_ref());
         if let Some(permit) = permit {
-            permit.report(report);
+            permit.report(outcome);
         }
     }
 
-    /// Frees the engine until the reader has caught up; returns whether the reader has gone.
+    /// Cancels the attempt and waits until the reader has read everything; returns true if the reader is
+    /// gone.
     async fn park(&mut self) -> bool {
         self.context.metrics.generations_parked.inc();
         self.cancel_running();
         loop {
-            match self.outbox.drained().await {
-                Demand::Gone => return true,
-                Demand::GivenUp(index) => self.strike(index),
-                Demand::Room | Demand::Full => return false,
+            match self.outbox.wait_drained().await {
+                ReaderState::Dropped => return true,
+                ReaderState::Discarded(index) => self.truncate(index),
+                ReaderState::Ready | ReaderState::Full => return false,
             }
         }
     }
 
-    /// Strikes the tokens from `index` on, which were held for the reader and given up.
-    fn strike(&mut self, index: u64) {
+    /// Removes the tokens from `index` on from the journal: they were discarded before the reader read
+    /// them, so that they must be generated again.
+    fn truncate(&mut self, index: u64) {
         self.journal.truncate(index);
         self.outbox.reopen();
     }
 
-    /// Tells the caller that the answer is whole and waits until it has read that; returns false if
-    /// a part of the answer has to be generated again.
+    /// Queues the end of the answer and waits until the caller has read it; returns false if a part of
+    /// the answer must be generated again.
     async fn finish(&mut self, reason: Arc<str>) -> bool {
-        self.report(Report::Succeeded);
+        self.report_outcome(ServerOutcome::Succeeded);
         self.running = None;
         self.outbox.push(Event::End {
             reason,
             tokens: self.journal.next_index(),
-            version: Arc::clone(&self.order.version),
+            version: Arc::clone(&self.request.version),
         });
-        match self.outbox.drained().await {
-            Demand::GivenUp(_) => self.park().await,
-            Demand::Room | Demand::Full | Demand::Gone => true,
+        match self.outbox.wait_drained().await {
+            ReaderState::Discarded(_) => self.park().await,
+            ReaderState::Ready | ReaderState::Full | ReaderState::Dropped => true,
         }
     }
 
-    /// Leaves the attempt of a caller that has gone: one that may come back finds it running for as
-    /// long as the engine keeps what nobody reads.
-    fn let_go(&mut self) -> bool {
-        if !self.order.resumable {
+    /// Ends the task of a caller that has disconnected.
+    ///
+    /// A resumable attempt is left running, so that the caller can attach to it again for as long as
+    /// the engine keeps an attempt without a reader; any other is cancelled.
+    fn detach(&mut self) -> bool {
+        if !self.request.resumable {
             self.cancel_running();
         }
         if let Some(permit) = self.running.take().and_then(|running| running.permit) {
-            cancel::outlast(&self.context, permit);
+            cancel::release_after_grace(&self.context, permit);
         }
         true
     }
 
-    /// Tells the caller that the generation was not admitted.
+    /// Ends the answer with the reason why the generation was not admitted.
     fn refuse(&mut self, refusal: Refusal) -> bool {
         match refusal {
             Refusal::Stopping => self.fail(|delivered| Error::Stopping { delivered }),
             _ if self.delivered() > 0 => self.fail(|delivered| Error::NoServer { delivered }),
             refusal => {
                 let error = Error::Refused { refusal };
-                self.outbox.push_last(Event::Failed(error));
+                self.outbox.push_final(Event::Failed(error));
                 true
             }
         }
     }
 
-    /// Tells the caller that the entry stops; what runs is left for another entry to read on from.
-    fn leave(&self) {
+    /// Ends the answer because the entry is stopping; the running attempt is left for another entry to
+    /// attach to.
+    fn report_stopping(&self) {
         let delivered = self.delivered();
         let error = Error::Stopping { delivered };
-        self.outbox.push_last(Event::Failed(error));
+        self.outbox.push_final(Event::Failed(error));
     }
 
-    /// Ends what runs and tells the caller that the answer cannot be completed.
+    /// Cancels the running attempt and ends the answer with an error.
     fn fail(&mut self, error: fn(u64) -> Error) -> bool {
         self.cancel_running();
         let error = error(self.delivered());
-        self.outbox.push_last(Event::Failed(error));
+        self.outbox.push_final(Event::Failed(error));
         true
     }
 
-    /// Cancels the attempt that runs, without waiting for the answer.
+    /// Cancels the running attempt in the background.
     fn cancel_running(&mut self) {
         if let Some(running) = self.running.take() {
             let reference = self.reference(running.attempt);
@@ -402,10 +420,10 @@
         }
     }
 
-    /// Returns the reference that an engine knows an attempt by.
+    /// Returns the reference by which an engine identifies an attempt.
     fn reference(&self, attempt: Attempt) -> Reference {
         Reference {
-            request_id: Arc::clone(&self.order.request_id),
+            request_id: Arc::clone(&self.request.request_id),
             attempt: attempt.0,
             from: self.journal.next_index(),
         }
--- a/serving/src/modules/generation/admit.rs
+++ b/serving/src/modules/generation/admit.rs
@@ -1,4 +1,4 @@
-//! Waiting for a server that can go on with a generation.
+//! Admission of a generation's next attempt.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,84 +12,88 @@
 use crate::modules::admission::{Permit, Refusal, Requirements};
 use crate::modules::moves;
 
-/// How long a generation waits for a server on which it lost nothing before it takes another.
-const CHOOSY_WAIT: Duration = Duration::from_millis(250);
+/// How long a generation waits for a server on which it has not lost an attempt before it accepts
+/// another.
+const PREFERRED_WAIT: Duration = Duration::from_millis(250);
 
 impl Task {
-    /// Waits for a server that can make an attempt, if possible one on which nothing was lost lately.
-    pub(super) async fn permit(&mut self) -> Result<Permit, Outcome> {
+    /// Waits for a server for the next attempt, preferably one without a recent loss.
+    pub(super) async fn acquire_permit(&mut self) -> Result<Permit, Outcome> {
         loop {
             let now = self.context.clock.now();
             let avoided = self.exclusion.avoided(now);
-            let refusal = if avoided.is_empty() {
-                self.ask(avoided, None).await?
+            let result = if avoided.is_empty() {
+                self.request_permit(avoided, None).await?
             } else {
-                match self.ask(avoided, Some(CHOOSY_WAIT)).await? {
+                match self.request_permit(avoided, Some(PREFERRED_WAIT)).await? {
                     Err(Refusal::Deadline) => {
-                        let barred = self.exclusion.barred(self.context.clock.now());
-                        self.ask(barred, Some(CHOOSY_WAIT)).await?
+                        let excluded = self.exclusion.excluded(self.context.clock.now());
+                        self.request_permit(excluded, Some(PREFERRED_WAIT)).await?
                     }
-                    answer => answer,
+                    result => result,
                 }
             };
-            match refusal {
+            match result {
                 Ok(permit) => return Ok(permit),
-                Err(Refusal::Deadline) => self.take_version_in_force(),
-                Err(Refusal::Full) if self.delivered() > 0 => time::sleep(CHOOSY_WAIT).await,
+                Err(Refusal::Deadline) => self.use_version_in_force(),
+                Err(Refusal::Full) if self.delivered() > 0 => time::sleep(PREFERRED_WAIT).await,
                 Err(refusal) => return Err(Outcome::NotAdmitted(refusal)),
             }
         }
     }
 
-    /// Asks for a server outside `excluded` and waits for `wait`, or else until the deadline, unless
-    /// the caller goes or another version comes into force before anything was delivered.
-    async fn ask(
+    /// Requests a permit for a server outside `excluded` and waits for it for `wait`, or for the answer
+    /// timeout if there is none.
+    ///
+    /// The wait ends early if the caller disconnects, or if the version is withdrawn before any token
+    /// was delivered.
+    async fn request_permit(
         &self,
         excluded: Vec<Arc<str>>,
         wait: Option<Duration>,
     ) -> Result<Result<Permit, Refusal>, Outcome> {
         let wait = wait.unwrap_or(self.context.settings.callers.answer_timeout);
         let begun = self.delivered() > 0;
-        let need = self.need(excluded, wait);
+        let requirements = self.requirements(excluded, wait);
         tokio::select! {
-            answer = self.context.admission.acquire(need) => Ok(answer),
-            () = self.outbox.gone() => Err(Outcome::CallerGone),
-            () = self.other_version(), if !begun => Ok(Err(Refusal::Deadline)),
+            result = self.context.admission.acquire(requirements) => Ok(result),
+            () = self.outbox.reader_dropped() => Err(Outcome::CallerDisconnected),
+            () = self.version_withdrawn(), if !begun => Ok(Err(Refusal::Deadline)),
         }
     }
 
-    /// Returns what an attempt needs of a server outside `excluded` within `wait`.
-    pub(super) fn need(&self, excluded: Vec<Arc<str>>, wait: Duration) -> Requirements {
-        let order = &self.order;
+    /// Returns the requirements of an attempt on a server outside `excluded` that waits for `wait`.
+    pub(super) fn requirements(&self, excluded: Vec<Arc<str>>, wait: Duration) -> Requirements {
+        let request = &self.request;
         let begun = self.delivered() > 0;
         Requirements {
-            service: Arc::clone(&order.service),
-            version: Arc::clone(&order.version),
-            account: Arc::clone(&order.account),
+            service: Arc::clone(&request.service),
+            version: Arc::clone(&request.version),
+            account: Arc::clone(&request.account),
             weight: 1,
-            // What a caller has begun to read comes before what has not begun.
-            priority: if begun { i32::MAX } else { order.priority },
-            tokens: prompt_tokens(&order.prompt) + order.max_tokens,
-            prefix: prefix_hash(&order.prompt),
+            // An answer that the caller has started to read is continued before new ones are started.
+            priority: if begun { i32::MAX } else { request.priority },
+            tokens: prompt_tokens(&request.prompt) + request.max_tokens,
+            prefix: prefix_hash(&request.prompt),
             deadline: self.context.clock.now() + wait,
             excluded,
         }
     }
 
-    /// Waits until requests of the service no longer go to the version asked for.
-    async fn other_version(&self) {
-        let order = &self.order;
-        moves::withdrawn(&self.context, &order.service, &order.version).await;
+    /// Waits until requests of the service no longer go to this generation's version.
+    async fn version_withdrawn(&self) {
+        let request = &self.request;
+        moves::withdrawn(&self.context, &request.service, &request.version).await;
     }
 
-    /// Takes the version that is proved and in force, if nothing was delivered yet.
-    pub(super) fn take_version_in_force(&mut self) {
+    /// Switches to the service's version in force, unless tokens were delivered already.
+    pub(super) fn use_version_in_force(&mut self) {
         if self.delivered() > 0 {
             return;
         }
         let declarations = Arc::clone(&self.context.declarations.borrow());
-        if let Some(service) = declarations.service(&self.order.service) {
-            self.order.version = moves::in_force(&self.context, service);
+        if let Some(service) = declarations.service(&self.request.service) {
+            self.request.version = moves::in_force(&self.context, service);
         }
     }
 }
--- a/serving/src/modules/generation/attempt.rs
+++ b/serving/src/modules/generation/attempt.rs
@@ -1,4 +1,5 @@
-//! Following one attempt: its frames, its silence and its reader.
+//! Delivery of one attempt's frames to the caller, with detection of a silent engine and a slow
+//! reader.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -8,81 +9,83 @@
 use medlarfall_coordination::resume_token;
 use tokio::time;
 
-use super::outbox::Demand;
-use super::silence::Watch;
+use super::outbox::ReaderState;
+use super::silence::Timer;
 use super::{Event, Task};
 use crate::backend::{self, Engine, Frame, Frames};
 use crate::modules::admission::Refusal;
 use crate::modules::stops::handover::{Handover, Prepared};
 
-/// Longest wait for a sign of life of an engine whose first token is late.
+/// Timeout of a probe of an engine whose first token is late.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How an attempt ended.
+/// Result of an attempt, or of the wait for one.
 pub(super) enum Outcome {
-    /// The answer is whole.
-    Whole(Arc<str>),
-    /// The attempt that the caller's resume token names had ended on its engine.
-    Ended,
-    /// Admission gave no server.
+    /// The answer is complete; holds the engine's reason for its end.
+    Complete(Arc<str>),
+    /// The attempt named by the caller's resume token had already ended on its engine.
+    AlreadyEnded,
+    /// Admission refused the attempt.
     NotAdmitted(Refusal),
-    /// The attempt never ran.
+    /// The engine did not run the attempt.
     Refused(String),
-    /// The attempt was lost; another may go on.
+    /// The attempt failed while it ran; another attempt may continue the answer.
     Lost(String),
-    /// The reader does not read.
+    /// The reader is too slow.
     Parked,
-    /// The generation runs on another server already, since the present one is leaving.
-    Moved(Box<Prepared>),
-    /// The caller has gone.
-    CallerGone,
-    /// The text differs from what the caller was given.
+    /// An attempt on another server has replaced this one, because its server is leaving.
+    HandedOver(Box<Prepared>),
+    /// The caller has disconnected.
+    CallerDisconnected,
+    /// The text that was generated again differs from the delivered text.
     Diverged,
 }
 
 impl Task {
-    /// Delivers an attempt's frames until it ends, fails or falls silent.
-    pub(super) async fn follow<F: Frames>(
+    /// Delivers an attempt's frames until it ends, fails or times out.
+    pub(super) async fn deliver_frames<F: Frames>(
         &mut self,
-        watch: &mut Watch,
-        asked: impl Future<Output = Result<F, backend::Error>>,
+        silence: &mut Timer,
+        response: impl Future<Output = Result<F, backend::Error>>,
     ) -> Outcome {
-        let Some(asked) = self.bear(watch, asked).await else {
+        let Some(response) = self.within_silence_limit(silence, response).await else {
             return Outcome::Lost("the engine did not answer".to_owned());
         };
-        let outcome = match asked {
-            Ok(mut frames) => self.read(watch, &mut frames).await,
+        let outcome = match response {
+            Ok(mut frames) => self.read(silence, &mut frames).await,
             Err(backend::Error::NotRun { reason }) => Outcome::Refused(reason),
             Err(backend::Error::Lost { reason }) => Outcome::Lost(reason),
         };
-        watch.hand_over(&self.context.detector);
+        silence.flush(&self.context.detector);
         outcome
     }
 
     /// Reads frames until the attempt ends.
-    async fn read<F: Frames>(&mut self, watch: &mut Watch, frames: &mut F) -> Outcome {
+    async fn read<F: Frames>(&mut self, silence: &mut Timer, frames: &mut F) -> Outcome {
         let Some(mut handover) = self.handover() else {
-            return Outcome::Ended;
+            return Outcome::AlreadyEnded;
         };
-        let outcome = self.read_until_moved(watch, frames, &mut handover).await;
+        let outcome = self
+            .read_until_handover(silence, frames, &mut handover)
+            .await;
         if let Some(last) = handover.last_prepared(&self.journal) {
             self.journal.note_used(last);
         }
         outcome
     }
 
-    /// Reads frames until the attempt ends or the generation runs on another server.
-    async fn read_until_moved<F: Frames>(
+    /// Reads frames until the attempt ends or an attempt on another server replaces it.
+    async fn read_until_handover<F: Frames>(
         &mut self,
-        watch: &mut Watch,
+        silence: &mut Timer,
         frames: &mut F,
         handover: &mut Handover,
     ) -> Outcome {
         loop {
             let next = tokio::select! {
                 biased;
-                next = self.bear(watch, frames.next()) => next,
-                prepared = handover.moved(&self.journal) => return Outcome::Moved(prepared),
+                next = self.within_silence_limit(silence, frames.next()) => next,
+                prepared = handover.moved(&self.journal) => return Outcome::HandedOver(prepared),
             };
             let frame = match next {
                 Some(Ok(Some(frame))) => frame,
@@ -90,31 +93,37 @@
                 Some(Err(error)) => return Outcome::Lost(error.to_string()),
                 None => return Outcome::Lost("the engine fell silent".to_owned()),
             };
-            if let Some(outcome) = self.take(watch, frame).await {
+            if let Some(outcome) = self.accept_frame(silence, frame).await {
                 return outcome;
             }
         }
     }
 
-    /// Waits for an engine for as long as its silence can be borne. An engine that answers may keep
-    /// its first token back for longer, since it may have others to serve before.
-    async fn bear<T>(&self, watch: &mut Watch, answer: impl Future<Output = T>) -> Option<T> {
+    /// Waits for an engine until its silence reaches the detector's limit.
+    ///
+    /// Before the first token the wait is extended while the engine answers probes, up to the first
+    /// token timeout, because the request may be queued behind others at the engine.
+    async fn within_silence_limit<T>(
+        &self,
+        silence: &mut Timer,
+        response: impl Future<Output = T>,
+    ) -> Option<T> {
         let limit = self.context.settings.generation.first_token_timeout;
-        let mut answer = pin!(answer);
+        let mut response = pin!(response);
         loop {
-            if let Ok(answer) = time::timeout_at(watch.deadline(), &mut answer).await {
-                return Some(answer);
+            if let Ok(response) = time::timeout_at(silence.deadline(), &mut response).await {
+                return Some(response);
             }
-            if !watch.may_extend(limit) || !self.alive().await {
-                watch.fell_silent(&self.context.detector);
+            if !silence.may_extend(limit) || !self.engine_responds().await {
+                silence.record_timeout(&self.context.detector);
                 return None;
             }
-            watch.extend();
+            silence.extend();
         }
     }
 
-    /// Returns whether the engine of the running attempt answers.
-    async fn alive(&self) -> bool {
+    /// Probes the engine of the running attempt; returns whether it responds in time.
+    async fn engine_responds(&self) -> bool {
         let Some(running) = &self.running else {
             return false;
         };
@@ -122,10 +131,14 @@
         matches!(time::timeout(PROBE_TIMEOUT, probe).await, Ok(Ok(_)))
     }
 
-    /// Takes one frame; returns an outcome if the attempt ends with it.
-    pub(super) async fn take(&mut self, watch: &mut Watch, frame: Frame) -> Option<Outcome> {
+    /// Processes one frame; returns an outcome if the attempt ends with it.
+    pub(super) async fn accept_frame(
+        &mut self,
+        silence: &mut Timer,
+        frame: Frame,
+    ) -> Option<Outcome> {
         let attempt = Attempt(self.origin.attempt);
-        let own = frame.request_id == *self.order.request_id && frame.attempt == attempt.0;
+        let own = frame.request_id == *self.request.request_id && frame.attempt == attempt.0;
         if !own {
             return None;
         }
@@ -134,20 +147,20 @@
                 let index = frame.index;
                 match self.journal.accept(attempt, index, Arc::clone(&token)) {
                     Verdict::Deliver => {
-                        let gap = watch.token(&self.context.detector);
+                        let gap = silence.record_token(&self.context.detector);
                         let running = self.running.as_mut();
                         if let Some(probe) = running.and_then(|running| running.probe.as_mut()) {
                             probe.token(gap);
                         }
-                        self.deliver(watch, index, token).await
+                        self.deliver(silence, index, token).await
                     }
                     Verdict::Gap => Some(Outcome::Lost("a token is missing".to_owned())),
                     Verdict::Repeated | Verdict::Stale | Verdict::Ended => None,
                 }
             }
             (None, Some(reason)) => match self.journal.end(attempt, frame.index) {
-                Ending::Whole if self.skipping() => Some(Outcome::Diverged),
-                Ending::Whole => Some(Outcome::Whole(reason)),
+                Ending::Whole if self.checks_prefix() => Some(Outcome::Diverged),
+                Ending::Whole => Some(Outcome::Complete(reason)),
                 Ending::Short => Some(Outcome::Lost("the last tokens are missing".to_owned())),
                 Ending::Stale => None,
             },
@@ -155,10 +168,15 @@
         }
     }
 
-    /// Hands a token to the caller, and waits while its reader is full.
-    async fn deliver(&mut self, watch: &mut Watch, index: u64, text: Arc<str>) -> Option<Outcome> {
-        if self.skipping() {
-            return self.skip(&text);
+    /// Delivers a token, and waits up to the parking time while the reader's buffer is full.
+    async fn deliver(
+        &mut self,
+        silence: &mut Timer,
+        index: u64,
+        text: Arc<str>,
+    ) -> Option<Outcome> {
+        if self.checks_prefix() {
+            return self.check_prefix(&text);
         }
         let origin = Arc::clone(&self.origin);
         let event = Event::Token {
@@ -167,36 +185,38 @@
             origin,
         };
         match self.outbox.push(event) {
-            Demand::Room => None,
-            Demand::Gone => Some(Outcome::CallerGone),
-            Demand::GivenUp(_) => Some(Outcome::Parked),
-            Demand::Full => {
-                let patience = self.context.settings.generation.park_after;
-                let waited = time::timeout(patience, self.outbox.room()).await;
-                watch.held_up();
+            ReaderState::Ready => None,
+            ReaderState::Dropped => Some(Outcome::CallerDisconnected),
+            ReaderState::Discarded(_) => Some(Outcome::Parked),
+            ReaderState::Full => {
+                let park_after = self.context.settings.generation.park_after;
+                let waited = time::timeout(park_after, self.outbox.wait_for_room()).await;
+                silence.exclude_reader_wait();
                 match waited {
-                    Ok(Demand::Room) => None,
-                    Ok(Demand::Gone) => Some(Outcome::CallerGone),
-                    Ok(Demand::GivenUp(_) | Demand::Full) | Err(_) => Some(Outcome::Parked),
+                    Ok(ReaderState::Ready) => None,
+                    Ok(ReaderState::Dropped) => Some(Outcome::CallerDisconnected),
+                    Ok(ReaderState::Discarded(_) | ReaderState::Full) | Err(_) => {
+                        Some(Outcome::Parked)
+                    }
                 }
             }
         }
     }
 
-    /// Returns whether the next token to deliver has not been reached yet.
-    fn skipping(&self) -> bool {
-        self.skip.is_some()
+    /// Returns whether tokens that were delivered before are still being compared.
+    fn checks_prefix(&self) -> bool {
+        self.delivered_prefix.is_some()
     }
 
-    /// Compares a token that the caller was given before, and is not given again.
-    fn skip(&mut self, text: &str) -> Option<Outcome> {
-        let skip = self.skip.as_mut()?;
-        skip.seen = resume_token::chain(skip.seen, text);
-        if self.journal.next_index() < skip.tokens {
+    /// Adds a token that was delivered before to the hash, and compares the hash after the last one.
+    fn check_prefix(&mut self, text: &str) -> Option<Outcome> {
+        let prefix = self.delivered_prefix.as_mut()?;
+        prefix.actual = resume_token::chain(prefix.actual, text);
+        if self.journal.next_index() < prefix.tokens {
             return None;
         }
-        let same = skip.seen == skip.expected;
-        self.skip = None;
+        let same = prefix.actual == prefix.expected;
+        self.delivered_prefix = None;
         (!same).then_some(Outcome::Diverged)
     }
 }
--- a/serving/src/modules/generation/cancel.rs
+++ b/serving/src/modules/generation/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancelling attempts on engines that may not answer for a while.
+//! Cancellation of attempts on engines, with retries for an engine that does not respond.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,26 +8,29 @@
 use crate::context::Context;
 use crate::modules::admission::Permit;
 
-/// Timeout of one try.
-const TRY_TIMEOUT: Duration = Duration::from_secs(1);
+/// Timeout of one cancel request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after the first try; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
+/// Pause after the first cancel request; it doubles after each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Tries before the engine is left to end an attempt that nobody reads.
-const TRIES: u32 = 8;
+/// Most cancel requests for one attempt; after them the engine ends the attempt without a reader.
+const MAX_REQUESTS: u32 = 8;
 
-/// Longest time that an engine goes on with a generation that nobody reads.
+/// Longest time for which an engine continues a generation without a reader.
 const ORPHAN_GRACE: Duration = Duration::from_secs(5);
 
-/// Cancels an attempt without waiting, and again until the engine answers or has left the list. The
-/// engine's memory stays reserved until then, or until the engine has given the attempt up by itself.
+/// Cancels an attempt in the background, with retries until the engine confirms it or is no longer
+/// listed.
+///
+/// Without a confirmation the engine's memory stays reserved for [`ORPHAN_GRACE`] longer, after which
+/// the engine has ended the attempt.
 pub(super) fn start(context: &Arc<Context>, running: Running, reference: Reference) {
     let context = Arc::clone(context);
     let stop = context.stop.clone();
     tokio::spawn(async move {
         let cancelling = async {
-            if !cancelled(&context, &running.server, &reference).await {
+            if !cancel_with_retries(&context, &running.server, &reference).await {
                 tokio::time::sleep(ORPHAN_GRACE).await;
             }
         };
@@ -39,8 +42,8 @@
     });
 }
 
-/// Keeps memory reserved for as long as the engine may go on without a reader.
-pub(super) fn outlast(context: &Context, permit: Permit) {
+/// Keeps memory reserved for as long as the engine may continue without a reader.
+pub(super) fn release_after_grace(context: &Context, permit: Permit) {
     let stop = context.stop.clone();
     tokio::spawn(async move {
         tokio::select! {
@@ -51,11 +54,11 @@
     });
 }
 
-/// Tries to cancel until the engine answers; returns whether it did.
-async fn cancelled(context: &Context, server: &Server, reference: &Reference) -> bool {
-    for attempt in 0..TRIES {
+/// Sends cancel requests until the engine confirms one; returns whether it did.
+async fn cancel_with_retries(context: &Context, server: &Server, reference: &Reference) -> bool {
+    for attempt in 0..MAX_REQUESTS {
         let cancel = context.backend.cancel(server, reference);
-        let answered = tokio::time::timeout(TRY_TIMEOUT, cancel).await;
+        let answered = tokio::time::timeout(REQUEST_TIMEOUT, cancel).await;
         if matches!(answered, Ok(Ok(()))) {
             return true;
         }
@@ -63,7 +66,7 @@
         if !listed {
             return false;
         }
-        tokio::time::sleep(FIRST_PAUSE * 2_u32.pow(attempt)).await;
+        tokio::time::sleep(INITIAL_BACKOFF * 2_u32.pow(attempt)).await;
     }
     false
 }
--- a/serving/src/modules/generation/exclusion.rs
+++ b/serving/src/modules/generation/exclusion.rs
@@ -1,4 +1,4 @@
-//! Which backend servers a generation passes over because it lost attempts there.
+//! Backend servers that a generation avoids because it lost attempts on them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -6,20 +6,20 @@
 
 use crate::backend::Server;
 
-/// How long a server is passed over after a first loss if no other is left.
-const FIRST_BACK_OFF: Duration = Duration::from_millis(250);
+/// How long a server is excluded after the first loss, even if no other server is available.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Longest time that a server is passed over if no other is left.
-const LONGEST_BACK_OFF: Duration = Duration::from_secs(4);
+/// Longest time for which a server is excluded even if no other server is available.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How long a server is passed over while others are left.
-const MEMORY: Duration = Duration::from_secs(30);
+/// How long a server is avoided after a loss while others are available.
+const AVOID_PERIOD: Duration = Duration::from_secs(30);
 
-/// What was lost on a server.
+/// The last loss on a server.
 #[derive(Clone, Copy, Debug)]
 struct Loss {
     at: Duration,
-    back_off: Duration,
+    backoff: Duration,
 }
 
 /// The servers on which a generation lost attempts.
@@ -29,30 +29,28 @@
 }
 
 impl Exclusion {
-    /// Notes a loss at the time `now`.
-    pub(super) fn lost(&mut self, server: &Server, now: Duration) {
+    /// Records the loss of an attempt on a server at `now`; the backoff doubles with each one.
+    pub(super) fn record_loss(&mut self, server: &Server, now: Duration) {
         let earlier = self.losses.get(&server.name);
-        let back_off = earlier.map_or(FIRST_BACK_OFF, |loss| {
-            (loss.back_off * 2).min(LONGEST_BACK_OFF)
-        });
-        let loss = Loss { at: now, back_off };
+        let backoff = earlier.map_or(INITIAL_BACKOFF, |loss| (loss.backoff * 2).min(MAX_BACKOFF));
+        let loss = Loss { at: now, backoff };
         self.losses.insert(Arc::clone(&server.name), loss);
     }
 
-    /// Returns the servers to pass over while others are left.
+    /// Returns the servers to avoid while others are available.
     pub(super) fn avoided(&self, now: Duration) -> Vec<Arc<str>> {
-        self.within(now, |_| MEMORY)
+        self.losses_within(now, |_| AVOID_PERIOD)
     }
 
-    /// Returns the servers to pass over in any case.
-    pub(super) fn barred(&self, now: Duration) -> Vec<Arc<str>> {
-        self.within(now, |loss| loss.back_off)
+    /// Returns the servers that must not be used even if no other is available.
+    pub(super) fn excluded(&self, now: Duration) -> Vec<Arc<str>> {
+        self.losses_within(now, |loss| loss.backoff)
     }
 
-    fn within(&self, now: Duration, length: fn(&Loss) -> Duration) -> Vec<Arc<str>> {
+    fn losses_within(&self, now: Duration, period: fn(&Loss) -> Duration) -> Vec<Arc<str>> {
         self.losses
             .iter()
-            .filter(|(_, loss)| now < loss.at + length(loss))
+            .filter(|(_, loss)| now < loss.at + period(loss))
             .map(|(name, _)| Arc::clone(name))
             .collect()
     }
--- a/serving/src/modules/generation/outbox.rs
+++ b/serving/src/modules/generation/outbox.rs
@@ -1,8 +1,9 @@
-//! Text held for a reader that has not read it yet, bounded for each generation and for the entry.
+//! Buffers of events between a generation's task and its caller's connection, limited for each
+//! generation and for the entry.
 //!
-//! The bound of the entry is kept at every moment: a token that would cross it makes the entry give
-//! up what it holds for the reader that holds most without reading. Nothing of that was delivered,
-//! so that it is generated again once the reader has read on.
+//! The entry's limit is never exceeded: if a new event would exceed it, the entry first discards the
+//! largest buffer, that of an idle reader if there is one. The discarded tokens were not delivered, so
+//! the generation produces them again when the reader continues.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -22,26 +23,26 @@
 use super::Event;
 use crate::modules::metrics::Metrics;
 
-/// How long a reader has not read when it counts as idle.
+/// Time without a read after which a reader counts as idle.
 const IDLE_AFTER: Duration = Duration::from_millis(500);
 
 new_key_type! {
-    /// Names an outbox in the ledger.
+    /// Key of an outbox in the limiter.
     struct Key;
 }
 
-/// What the outboxes of an entry hold together.
+/// Accounts for the bytes buffered in all outboxes of an entry and enforces their limit.
 #[derive(Debug)]
 pub struct Limiter {
     limit: usize,
-    held: AtomicUsize,
+    buffered: AtomicUsize,
     peak: AtomicUsize,
     gauge: Gauge,
-    given_up: Counter,
+    discards: Counter,
     outboxes: Mutex<SlotMap<Key, Weak<Shared>>>,
 }
 
-/// What the two ends of an outbox share.
+/// State shared by the two ends of an outbox.
 #[derive(Debug)]
 struct Shared {
     state: Mutex<State>,
@@ -52,9 +53,9 @@
 struct State {
     events: VecDeque<Event>,
     bytes: usize,
-    given_up: Option<u64>,
+    discarded_from: Option<u64>,
     reader_waits: bool,
-    reader_gone: bool,
+    reader_dropped: bool,
     closed: bool,
     waker: Option<Waker>,
     read_at: Option<Instant>,
@@ -64,104 +65,104 @@
 #[derive(Debug)]
 pub(super) struct Outbox {
     shared: Arc<Shared>,
-    ledger: Arc<Limiter>,
+    limiter: Arc<Limiter>,
     key: Key,
     limit: usize,
 }
 
-/// The end of an outbox that the caller's answer reads.
+/// The end of an outbox that the caller's connection reads.
 #[derive(Debug)]
 pub struct Reader {
     shared: Arc<Shared>,
-    ledger: Arc<Limiter>,
+    limiter: Arc<Limiter>,
 }
 
-/// What a reader is doing.
+/// State of a reader.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Demand {
-    /// It has room.
-    Room,
-    /// It holds as much as it may.
+pub(super) enum ReaderState {
+    /// Its buffer has room.
+    Ready,
+    /// Its buffer has reached the generation's limit.
     Full,
-    /// What was held for it was given up; the index is the first token that it was not given.
-    GivenUp(u64),
-    /// It has gone.
-    Gone,
+    /// Its buffer was discarded; the index is that of the first token that was not delivered.
+    Discarded(u64),
+    /// The reader was dropped.
+    Dropped,
 }
 
 impl Limiter {
-    /// Returns a ledger of outboxes that may hold `limit` bytes together.
+    /// Returns a limiter of outboxes that may buffer `limit` bytes in total.
     #[must_use]
     pub fn new(limit: usize, metrics: &Metrics) -> Arc<Self> {
         Arc::new(Self {
             limit,
-            held: AtomicUsize::new(0),
+            buffered: AtomicUsize::new(0),
             peak: AtomicUsize::new(0),
             gauge: metrics.held_bytes.clone(),
-            given_up: metrics.held_given_up.clone(),
+            discards: metrics.held_given_up.clone(),
             outboxes: Mutex::default(),
         })
     }
 
-    /// Returns the bytes held now.
+    /// Returns the bytes buffered now.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
-        self.held.load(Ordering::SeqCst)
+        self.buffered.load(Ordering::SeqCst)
     }
 
-    /// Returns the most bytes held at once.
+    /// Returns the most bytes that were buffered at the same time.
     #[must_use]
     pub fn peak_bytes(&self) -> usize {
         self.peak.load(Ordering::SeqCst)
     }
 
-    /// Takes `bytes` if they fit under the bound.
-    fn take(&self, bytes: usize) -> bool {
-        let add = |held: usize| held.checked_add(bytes).filter(|sum| *sum <= self.limit);
-        let taken = self
-            .held
+    /// Reserves `bytes` if they fit within the limit; returns whether they did.
+    fn reserve(&self, bytes: usize) -> bool {
+        let add = |buffered: usize| buffered.checked_add(bytes).filter(|sum| *sum <= self.limit);
+        let reserved = self
+            .buffered
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, add);
-        let Ok(before) = taken else {
+        let Ok(before) = reserved else {
             return false;
         };
         self.peak.fetch_max(before + bytes, Ordering::SeqCst);
-        self.show();
+        self.update_gauge();
         true
     }
 
-    /// Gives `bytes` back.
-    fn give_back(&self, bytes: usize) {
-        self.held.fetch_sub(bytes, Ordering::SeqCst);
-        self.show();
+    /// Releases reserved bytes.
+    fn release(&self, bytes: usize) {
+        self.buffered.fetch_sub(bytes, Ordering::SeqCst);
+        self.update_gauge();
     }
 
-    fn show(&self) {
+    fn update_gauge(&self) {
         self.gauge
             .set(i64::try_from(self.buffered_bytes()).unwrap_or(i64::MAX));
     }
 
-    /// Gives up what is held for the largest idle reader, or for the largest one if none is idle;
-    /// returns the number of bytes.
-    fn give_up_largest(&self) -> usize {
+    /// Discards the largest buffer of an idle reader, or the largest of all if none is idle; returns
+    /// the number of bytes.
+    fn discard_largest(&self) -> usize {
         let outboxes: Vec<Arc<Shared>> = lock(&self.outboxes)
             .values()
             .filter_map(Weak::upgrade)
             .collect();
         let largest = outboxes
             .iter()
-            .max_by_key(|shared| lock(&shared.state).weight());
-        let bytes = largest.map_or(0, |shared| shared.give_up());
+            .max_by_key(|shared| lock(&shared.state).discard_priority());
+        let bytes = largest.map_or(0, |shared| shared.discard());
         if bytes > 0 {
-            self.give_back(bytes);
-            self.given_up.inc();
+            self.release(bytes);
+            self.discards.inc();
         }
         bytes
     }
 }
 
 impl State {
-    /// Returns what decides whose text is given up first.
-    fn weight(&self) -> (bool, usize) {
+    /// Returns the priority by which a buffer is discarded: idle readers first, then by size.
+    fn discard_priority(&self) -> (bool, usize) {
         let idle = self
             .read_at
             .is_none_or(|read_at| read_at.elapsed() > IDLE_AFTER);
@@ -170,11 +171,11 @@
 }
 
 impl Shared {
-    /// Drops the events held and returns their bytes.
-    fn give_up(&self) -> usize {
+    /// Discards the buffered events and returns their bytes.
+    fn discard(&self) -> usize {
         let mut state = lock(&self.state);
         let first = state.events.iter().find_map(Event::first_index);
-        state.given_up = state.given_up.or(first);
+        state.discarded_from = state.discarded_from.or(first);
         state.events.clear();
         state.events.shrink_to_fit();
         let bytes = mem::take(&mut state.bytes);
@@ -184,20 +185,20 @@
     }
 }
 
-/// Returns a new outbox that holds up to `limit` bytes, and its reader.
-pub(super) fn open(ledger: &Arc<Limiter>, limit: usize) -> (Outbox, Reader) {
+/// Returns a new outbox that counts as full from `limit` buffered bytes, and its reader.
+pub(super) fn open(limiter: &Arc<Limiter>, limit: usize) -> (Outbox, Reader) {
     let shared = Arc::new(Shared {
         state: Mutex::default(),
         changed: Notify::new(),
     });
-    let key = lock(&ledger.outboxes).insert(Arc::downgrade(&shared));
+    let key = lock(&limiter.outboxes).insert(Arc::downgrade(&shared));
     let reader = Reader {
         shared: Arc::clone(&shared),
-        ledger: Arc::clone(ledger),
+        limiter: Arc::clone(limiter),
     };
     let outbox = Outbox {
         shared,
-        ledger: Arc::clone(ledger),
+        limiter: Arc::clone(limiter),
         key,
         limit,
     };
@@ -205,78 +206,81 @@
 }
 
 impl Outbox {
-    /// Adds an event and returns what the reader is doing.
-    pub(super) fn push(&self, event: Event) -> Demand {
+    /// Adds an event and returns the reader's state.
+    ///
+    /// The event is dropped if the reader is gone or earlier events were discarded, or if it does not
+    /// fit into the entry's limit even after every buffer was discarded.
+    pub(super) fn push(&self, event: Event) -> ReaderState {
         let bytes = event.bytes();
-        while !self.ledger.take(bytes) {
-            if self.ledger.give_up_largest() == 0 {
-                lock(&self.shared.state).given_up = event.first_index();
-                return self.demand();
+        while !self.limiter.reserve(bytes) {
+            if self.limiter.discard_largest() == 0 {
+                lock(&self.shared.state).discarded_from = event.first_index();
+                return self.reader_state();
             }
         }
         let mut state = lock(&self.shared.state);
-        if state.reader_gone || state.given_up.is_some() {
+        if state.reader_dropped || state.discarded_from.is_some() {
             drop(state);
-            self.ledger.give_back(bytes);
-            return self.demand();
+            self.limiter.release(bytes);
+            return self.reader_state();
         }
         state.events.push_back(event);
         state.bytes += bytes;
         wake(state);
-        self.demand()
+        self.reader_state()
     }
 
-    /// Adds the last event of a generation that failed, whatever is held.
-    pub(super) fn push_last(&self, event: Event) {
+    /// Adds the final event of a failed generation regardless of the limits.
+    pub(super) fn push_final(&self, event: Event) {
         let mut state = lock(&self.shared.state);
         state.events.push_back(event);
         wake(state);
     }
 
-    /// Returns what the reader is doing.
-    pub(super) fn demand(&self) -> Demand {
+    /// Returns the reader's state.
+    pub(super) fn reader_state(&self) -> ReaderState {
         let state = lock(&self.shared.state);
-        match state.given_up {
-            _ if state.reader_gone => Demand::Gone,
-            Some(index) => Demand::GivenUp(index),
-            None if state.bytes >= self.limit => Demand::Full,
-            None => Demand::Room,
+        match state.discarded_from {
+            _ if state.reader_dropped => ReaderState::Dropped,
+            Some(index) => ReaderState::Discarded(index),
+            None if state.bytes >= self.limit => ReaderState::Full,
+            None => ReaderState::Ready,
         }
     }
 
-    /// Waits until the reader is no longer full.
-    pub(super) async fn room(&self) -> Demand {
+    /// Waits until the reader's state is no longer [`ReaderState::Full`].
+    pub(super) async fn wait_for_room(&self) -> ReaderState {
         loop {
-            match self.demand() {
-                Demand::Full => self.shared.changed.notified().await,
-                demand => return demand,
+            match self.reader_state() {
+                ReaderState::Full => self.shared.changed.notified().await,
+                state => return state,
             }
         }
     }
 
-    /// Waits until the reader has read everything and waits for more, or has gone, or until what
-    /// was held for it is given up.
-    pub(super) async fn drained(&self) -> Demand {
+    /// Waits until the reader has read everything and waits for more, until it is dropped, or until
+    /// its buffer is discarded.
+    pub(super) async fn wait_drained(&self) -> ReaderState {
         loop {
-            match self.demand() {
-                Demand::Room | Demand::Full if !self.reader_waits() => {
+            match self.reader_state() {
+                ReaderState::Ready | ReaderState::Full if !self.reader_waits() => {
                     self.shared.changed.notified().await;
                 }
-                demand => return demand,
+                state => return state,
             }
         }
     }
 
-    /// Waits until the reader has gone.
-    pub(super) async fn gone(&self) {
-        while self.demand() != Demand::Gone {
+    /// Waits until the reader is dropped.
+    pub(super) async fn reader_dropped(&self) {
+        while self.reader_state() != ReaderState::Dropped {
             self.shared.changed.notified().await;
         }
     }
 
-    /// Lets events in again after what was held was given up.
+    /// Accepts events again after the buffer was discarded.
     pub(super) fn reopen(&self) {
-        lock(&self.shared.state).given_up = None;
+        lock(&self.shared.state).discarded_from = None;
     }
 
     fn reader_waits(&self) -> bool {
@@ -287,7 +291,7 @@
 
 impl Drop for Outbox {
     fn drop(&mut self) {
-        lock(&self.ledger.outboxes).remove(self.key);
+        lock(&self.limiter.outboxes).remove(self.key);
         let mut state = lock(&self.shared.state);
         state.closed = true;
         wake(state);
@@ -305,7 +309,7 @@
             state.reader_waits = false;
             state.read_at = Some(Instant::now());
             drop(state);
-            self.ledger.give_back(bytes);
+            self.limiter.release(bytes);
             self.shared.changed.notify_one();
             return Poll::Ready(Some(event));
         }
@@ -323,16 +327,16 @@
 impl Drop for Reader {
     fn drop(&mut self) {
         let mut state = lock(&self.shared.state);
-        state.reader_gone = true;
+        state.reader_dropped = true;
         state.events = VecDeque::new();
         let bytes = mem::take(&mut state.bytes);
         drop(state);
-        self.ledger.give_back(bytes);
+        self.limiter.release(bytes);
         self.shared.changed.notify_one();
     }
 }
 
-/// Wakes the reader, if it waits.
+/// Wakes the reader if it is waiting.
 fn wake(mut state: MutexGuard<'_, State>) {
     let waker = state.waker.take();
     drop(state);
@@ -341,7 +345,7 @@
     }
 }
 
-/// Locks what no panic can leave half changed.
+/// Locks a mutex; poisoning is ignored, since a panic cannot leave the guarded state inconsistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/serving/src/modules/generation/request.rs
+++ b/serving/src/modules/generation/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, and what it is told.
+//! The request of a generation, and the events that are delivered to its caller.
 
 use std::sync::Arc;
 
@@ -7,16 +7,16 @@
 
 use crate::modules::admission::Refusal;
 
-/// A generation that a caller asked for.
+/// A caller's request for a generation.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Request {
     /// Identifier of the request.
     pub request_id: Arc<str>,
     /// Client account of the caller.
     pub account: Arc<str>,
-    /// Service that was asked.
+    /// Service to which the request goes.
     pub service: Arc<str>,
-    /// Version that answers.
+    /// Version of the service.
     pub version: Arc<str>,
     /// The prompt.
     pub prompt: Arc<str>,
@@ -24,25 +24,26 @@
     pub max_tokens: u64,
     /// Priority; higher runs first.
     pub priority: i32,
-    /// Whether the caller is given resume tokens, with which it may come back.
+    /// Whether the caller receives resume tokens, with which it may resume the answer later.
     pub resumable: bool,
-    /// Where the generation goes on, if it began at another entry or on another connection.
+    /// Position from which the generation resumes, if it began on another connection.
     pub resumption: Option<Resumption>,
 }
 
-/// Where a generation goes on.
+/// Position from which a generation resumes.
 #[derive(Clone, Debug)]
 pub struct Resumption {
-    /// What the caller's resume token says.
+    /// The caller's resume token.
     pub token: Token,
-    /// The tokens that the caller holds, checked against the resume token.
-    pub held: Option<Vec<Arc<str>>>,
+    /// The tokens that the caller has received, checked against the resume token; absent if it did not
+    /// send them.
+    pub received: Option<Vec<Arc<str>>>,
 }
 
-/// Where a token was generated.
+/// The version, server and attempt that generated a token.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Origin {
-    /// Version that answers.
+    /// Version of the service.
     pub version: Arc<str>,
     /// Backend server.
     pub server: Arc<str>,
@@ -50,7 +51,7 @@
     pub attempt: u64,
 }
 
-/// What the caller is told.
+/// An event that is delivered to the caller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Event {
     /// The next token.
@@ -62,9 +63,9 @@
         /// Where it was generated.
         origin: Arc<Origin>,
     },
-    /// The answer is whole.
+    /// The answer is complete.
     End {
-        /// Why the engine ended it.
+        /// The engine's reason for the end.
         reason: Arc<str>,
         /// Number of tokens.
         tokens: u64,
@@ -76,18 +77,18 @@
 }
 
 impl Event {
-    /// Returns the bytes that the event holds in memory.
+    /// Returns the bytes of the event that count towards the outbox limits.
     pub(super) fn bytes(&self) -> usize {
         let text = match self {
             Self::Token { text, .. } => text.len(),
             Self::End { .. } => 0,
-            // It is the last thing that a generation says, and is never given up.
+            // The final event of a failed generation is never discarded, so it does not count.
             Self::Failed(_) => return 0,
         };
         size_of::<Self>() + text
     }
 
-    /// Returns the index of the first token that is missing if this event is not delivered.
+    /// Returns the index of the first token that the caller misses if this event is discarded.
     pub(super) fn first_index(&self) -> Option<u64> {
         match self {
             Self::Token { index, .. } => Some(*index),
@@ -97,10 +98,10 @@
     }
 }
 
-/// Why a generation could not be completed.
+/// Reason why a generation could not be completed.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// No backend server can go on with it.
+    /// No backend server can continue it.
     #[snafu(display(
         "no backend server of this version can go on; {delivered} tokens were delivered; come back later with the last event's id"
     ))]
@@ -111,10 +112,10 @@
     /// It was not admitted, and nothing of it was run.
     #[snafu(display("{refusal}"))]
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         refusal: Refusal,
     },
-    /// The caller's deadline has passed.
+    /// The answer timeout has passed.
     #[snafu(display(
         "the answer was not whole in time; {delivered} tokens were delivered; come back with the last event's id"
     ))]
@@ -122,7 +123,7 @@
         /// Tokens delivered so far.
         delivered: u64,
     },
-    /// The text generated anew differs from what the caller was given.
+    /// The text that was generated again differs from the delivered text.
     #[snafu(display(
         "the answer could not be taken up after its {delivered} tokens; come back with the last event's id and the tokens you hold as `tokens`"
     ))]
@@ -130,7 +131,7 @@
         /// Tokens delivered so far.
         delivered: u64,
     },
-    /// The entry stops.
+    /// The entry is stopping.
     #[snafu(display(
         "this entry stops; {delivered} tokens were delivered; go to another entry with the last event's id"
     ))]
--- a/serving/src/modules/generation/silence.rs
+++ b/serving/src/modules/generation/silence.rs
@@ -1,4 +1,4 @@
-//! Watching one attempt's silence.
+//! Timer of an engine's silence during one attempt.
 
 use std::mem;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,29 +7,29 @@
 use medlarfall_coordination::detector::{Detector, Phase, Subject};
 use tokio::time::Instant;
 
-use super::Order;
+use super::Request;
 use crate::backend::Server;
 
-/// Gaps that are collected before they are handed to the detector.
-const BATCH: usize = 16;
+/// Gaps between tokens that are collected before they are passed to the detector.
+const GAP_BATCH: usize = 16;
 
-/// The silence of one attempt.
+/// Measures the silence of one attempt against the detector's limit.
 #[derive(Debug)]
-pub(super) struct Watch {
+pub(super) struct Timer {
     subject: Subject,
     phase: Phase,
     started: Instant,
-    since: Instant,
+    last_activity: Instant,
     bound: Duration,
     gaps: Vec<Duration>,
 }
 
-impl Watch {
-    /// Starts watching an attempt on a server.
-    pub(super) fn start(detector: &Mutex<Detector>, order: &Order, server: &Server) -> Self {
+impl Timer {
+    /// Starts the timer of an attempt on a server.
+    pub(super) fn start(detector: &Mutex<Detector>, request: &Request, server: &Server) -> Self {
         let subject = Subject {
-            service: Arc::clone(&order.service),
-            version: Arc::clone(&order.version),
+            service: Arc::clone(&request.service),
+            version: Arc::clone(&request.version),
             server: Arc::clone(&server.name),
         };
         let now = Instant::now();
@@ -38,30 +38,30 @@
             subject,
             phase: Phase::First,
             started: now,
-            since: now,
+            last_activity: now,
             gaps: Vec::new(),
         }
     }
 
-    /// Returns when the silence has lasted too long.
+    /// Returns the time at which the silence reaches the limit.
     pub(super) fn deadline(&self) -> Instant {
-        self.since + self.bound
+        self.last_activity + self.bound
     }
 
-    /// Returns whether the first token is still awaited, for less than `limit` so far.
+    /// Returns whether the first token has not arrived and the attempt is younger than `limit`.
     pub(super) fn may_extend(&self, limit: Duration) -> bool {
         self.phase == Phase::First && self.started.elapsed() < limit
     }
 
-    /// Waits once more as long.
+    /// Restarts the wait, for a first token that is late.
     pub(super) fn extend(&mut self) {
-        self.since = Instant::now();
+        self.last_activity = Instant::now();
     }
 
-    /// Notes a token of the attempt; returns how long the engine was silent before it.
-    pub(super) fn token(&mut self, detector: &Mutex<Detector>) -> Duration {
+    /// Records a token of the attempt; returns how long the engine was silent before it.
+    pub(super) fn record_token(&mut self, detector: &Mutex<Detector>) -> Duration {
         let now = Instant::now();
-        let gap = now - self.since;
+        let gap = now - self.last_activity;
         match self.phase {
             Phase::First => {
                 lock(detector).observe(&self.subject, Phase::First, now - self.started);
@@ -70,26 +70,26 @@
             }
             Phase::Between => self.gaps.push(gap),
         }
-        self.since = now;
-        if self.gaps.len() >= BATCH {
-            self.hand_over(detector);
+        self.last_activity = now;
+        if self.gaps.len() >= GAP_BATCH {
+            self.flush(detector);
         }
         gap
     }
 
-    /// Notes that the reader, and not the engine, held up the attempt until now.
-    pub(super) fn held_up(&mut self) {
-        self.since = Instant::now();
+    /// Excludes the time until now from the silence, since the reader and not the engine caused it.
+    pub(super) fn exclude_reader_wait(&mut self) {
+        self.last_activity = Instant::now();
     }
 
-    /// Notes that the silence ended the attempt.
-    pub(super) fn fell_silent(&self, detector: &Mutex<Detector>) {
-        let silence = self.since.elapsed();
+    /// Records that the attempt timed out.
+    pub(super) fn record_timeout(&self, detector: &Mutex<Detector>) {
+        let silence = self.last_activity.elapsed();
         lock(detector).fell_silent(&self.subject, self.phase, silence);
     }
 
-    /// Hands the collected gaps to the detector and takes its bound.
-    pub(super) fn hand_over(&mut self, detector: &Mutex<Detector>) {
+    /// Passes the collected gaps to the detector and updates the limit.
+    pub(super) fn flush(&mut self, detector: &Mutex<Detector>) {
         let mut detector = lock(detector);
         for gap in mem::take(&mut self.gaps) {
             detector.observe(&self.subject, Phase::Between, gap);
@@ -98,7 +98,7 @@
     }
 }
 
-/// Locks the detector, whose state a panic cannot leave half changed.
+/// Locks the detector; poisoning is ignored, since a panic cannot leave its state inconsistent.
 pub(super) fn lock(detector: &Mutex<Detector>) -> MutexGuard<'_, Detector> {
     detector.lock().unwrap_or_else(PoisonError::into_inner)
 }
