--- a/serving/src/modules/admission/state/shares.rs
+++ b/serving/src/modules/admission/state/shares.rs
@@ -17,7 +17,7 @@
     granted: u64,
     /// Whether a grant request is in flight.
     pending: bool,
-    /// Time since which at least one step has been idle.
+    /// Time since which the share has been more than one step larger than its reservations.
     idle_since: Option<Duration>,
 }
 
--- a/serving/src/modules/generation/cancel.rs
+++ b/serving/src/modules/generation/cancel.rs
@@ -14,7 +14,7 @@
 /// Pause after the first cancel request; it doubles after each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 
-/// Most cancel requests for one attempt; after them the engine ends the attempt without a reader.
+/// Most cancel requests for one attempt; the engine ends an attempt without a reader on its own.
 const MAX_REQUESTS: u32 = 8;
 
 /// Longest time for which an engine continues a generation without a reader.
