--- a/coordination/src/schedule.rs
+++ b/coordination/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The stages of a move and when it goes from one to the next, worked back from its deadline.
+//! The stages of a move and the time of each transition, computed backwards from the deadline.
 //!
 //! ```
 //! use std::time::Duration;
@@ -22,13 +22,13 @@
 /// The stages of a move.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Plan {
-    /// Share of the new version at each stage, in thousandths; the last is the whole.
+    /// Share of requests that the new version gets at each stage, in thousandths; the last is 1000.
     pub shares: Vec<u64>,
     /// Shortest time at a stage, in milliseconds.
     pub dwell_floor_ms: u64,
-    /// Longest time at a stage that is well proved, in milliseconds.
+    /// Longest time at a stage that has enough evidence, in milliseconds.
     pub dwell_ceiling_ms: u64,
-    /// Fewest requests that the new version must have answered at each stage.
+    /// Minimum number of requests that the new version must answer at each stage.
     pub requests: u64,
 }
 
@@ -43,10 +43,10 @@
     }
 }
 
-/// Where a move stands.
+/// The progress of a move.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Progress {
-    /// Index of the stage.
+    /// Index of the current stage.
     pub stage: usize,
     /// Time since the stage began.
     pub in_stage: Duration,
@@ -54,19 +54,19 @@
     pub remaining: Duration,
     /// Requests that the new version has answered at this stage.
     pub requests: u64,
-    /// Whether the evidence leans against the new version without being enough.
+    /// Whether there is evidence against the new version that does not suffice for its rejection.
     pub suspect: bool,
 }
 
-/// What a move does next.
+/// The next transition of a move.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It stays at its stage.
+    /// The move stays at its stage.
     Stay,
-    /// It goes to the next stage, or is done after the last.
+    /// The move advances to the next stage, or is done after the last.
     Advance,
-    /// It cannot be proved good by its deadline and returns.
-    TakeBack,
+    /// The new version cannot be proved good by the deadline, and the move is taken back.
+    Revert,
 }
 
 impl Plan {
@@ -76,39 +76,40 @@
         Duration::from_millis(self.dwell_floor_ms.saturating_mul(self.shares.len() as u64))
     }
 
-    /// Returns the longest time at a stage that is well proved.
+    /// Returns the longest time at a stage that has enough evidence.
     #[must_use]
     pub fn ceiling(&self) -> Duration {
         Duration::from_millis(self.dwell_ceiling_ms)
     }
 
-    /// Returns how long a move stays at a stage at least, with the time `left` to the deadline.
+    /// Returns the shortest time that a move stays at a stage, with `remaining` until the deadline.
     ///
-    /// Half of the time left is kept in hand for stages that take longer to prove.
+    /// Half of the remaining time is reserved for stages that need longer to collect evidence.
     #[must_use]
-    pub fn dwell(&self, stage: usize, left: Duration) -> Duration {
-        let stages = u32::try_from(self.stages_left(stage)).unwrap_or(u32::MAX);
+    pub fn dwell(&self, stage: usize, remaining: Duration) -> Duration {
+        let stages = u32::try_from(self.stages_remaining(stage)).unwrap_or(u32::MAX);
         let floor = Duration::from_millis(self.dwell_floor_ms);
-        (left / stages.saturating_mul(2).max(1)).clamp(floor, self.ceiling().max(floor))
+        (remaining / stages.saturating_mul(2).max(1)).clamp(floor, self.ceiling().max(floor))
     }
 
-    /// Decides what a move does next, but for evidence that is enough against it.
+    /// Decides the next transition of a move, apart from a rejection for sufficient evidence.
     #[must_use]
     pub fn decide(&self, progress: Progress) -> Decision {
         let floor = Duration::from_millis(self.dwell_floor_ms);
-        let later = u32::try_from(self.stages_left(progress.stage) - 1).unwrap_or(u32::MAX);
-        let needed = floor.saturating_sub(progress.in_stage) + floor.saturating_mul(later);
+        let later_stages =
+            u32::try_from(self.stages_remaining(progress.stage) - 1).unwrap_or(u32::MAX);
+        let required = floor.saturating_sub(progress.in_stage) + floor.saturating_mul(later_stages);
         let proved = progress.requests >= self.requests && !progress.suspect;
         let dwell = self.dwell(progress.stage, progress.remaining + progress.in_stage);
         match progress.remaining {
-            left if left.is_zero() || left < needed => Decision::TakeBack,
+            remaining if remaining.is_zero() || remaining < required => Decision::Revert,
             _ if proved && progress.in_stage >= dwell => Decision::Advance,
             _ => Decision::Stay,
         }
     }
 
-    /// Returns the number of stages from `stage` on, itself included.
-    fn stages_left(&self, stage: usize) -> usize {
+    /// Returns the number of stages from `stage` to the last, including both.
+    fn stages_remaining(&self, stage: usize) -> usize {
         self.shares.len().saturating_sub(stage).max(1)
     }
 }
--- a/coordination/tests/rollout.rs
+++ b/coordination/tests/rollout.rs
@@ -58,17 +58,17 @@
         });
 }
 
-/// What can happen to one of two entries and the store between them.
+/// An event at one of two entries that share a store.
 #[derive(Clone, Copy, Debug, TypeGenerator)]
 enum Event {
     Advance { first: bool },
     Brake { first: bool },
-    Hear { first: bool },
+    Receive { first: bool },
     Read { first: bool },
 }
 
 #[test]
-fn a_recorded_end_stays_and_a_braked_entry_serves_the_new_version_only_if_done_was_recorded() {
+fn a_recorded_end_stays_and_a_braked_entry_uses_the_new_version_only_if_done_is_recorded() {
     check!().with_type().for_each(|events: &Vec<Event>| {
         let mut stored = record(1, Sketch::Stage(0));
         let mut entries = [stored.clone(), stored.clone()];
@@ -91,7 +91,7 @@
                     *entry = entry.clone().brake("fails");
                     write(&mut stored, entry.clone());
                 }
-                Event::Hear { first } => {
+                Event::Receive { first } => {
                     let other = entries[usize::from(!first)].clone();
                     let entry = &mut entries[usize::from(first)];
                     *entry = entry.clone().join(other);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_stage_never_gets_more_than_its_share_and_keeps_the_requests_of_the_stage_before() {
+fn a_stage_gets_its_share_and_keeps_the_requests_of_the_previous_stage() {
     let requests = 20_000_u64;
     for number in 1..=5 {
         let at = |stage| Record {
@@ -174,7 +174,7 @@
                     suspect: false,
                 };
                 match plan.decide(progress) {
-                    Decision::TakeBack => return,
+                    Decision::Revert => return,
                     Decision::Stay => assert!(now < within, "a move outlives its deadline"),
                     Decision::Advance => {
                         assert!(*proved, "a stage needs its evidence");
@@ -205,11 +205,7 @@
                 requests: 10,
                 suspect: false,
             });
-            assert_ne!(
-                decision,
-                Decision::TakeBack,
-                "{within_ms} ms, stage {stage}"
-            );
+            assert_ne!(decision, Decision::Revert, "{within_ms} ms, stage {stage}");
             if decision == Decision::Advance {
                 (stage, began) = (stage + 1, now);
             } else {
--- a/serving/src/modules/moves/driver.rs
+++ b/serving/src/modules/moves/driver.rs
@@ -310,9 +310,7 @@
         });
         match decision {
             Decision::Stay => {}
-            Decision::TakeBack => {
-                self.brake(service, "it could not be proved good by its deadline")
-            }
+            Decision::Revert => self.brake(service, "it could not be proved good by its deadline"),
             Decision::Advance => {
                 let record = held.record.clone().advance();
                 self.write(record);
