--- a/coordination/src/balance.rs
+++ b/coordination/src/balance.rs
@@ -1,9 +1,9 @@
-//! Which of a service's servers a request is sent to, from what this entry knows of their load.
+//! Load balancing: selects the server of a service that a request is sent to.
 //!
-//! The load that answers: several entries that spread requests over the same servers, each from
-//! stale reports. An entry counts its own requests at once and those of the others from the
-//! servers' reports, which fade with age; ties are broken by a hash of the request, so that
-//! entries with the same reports do not all choose the same server.
+//! Several entries distribute requests over the same servers, each with out-of-date load reports.
+//! An entry counts its own requests immediately and takes those of the other entries from the
+//! servers' reports, whose weight decays with age. Ties are broken by a hash of the request, so
+//! that entries with the same reports do not all select the same server.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -11,219 +11,224 @@
 use crate::placement::{Proximity, mix};
 use crate::shared_load::Count;
 
-/// Weight of a new outcome in a server's share of failures. 1/8 lets three failures in a row
-/// outweigh a loss of a third.
+/// Weight of a new outcome in the moving average of a server's failure rate. With 1/8, three
+/// failures in a row count for more than a steady failure rate of one third.
 const OUTCOME_WEIGHT: f64 = 1.0 / 8.0;
 
-/// Load, in requests, that a server's share of failures counts for when all of them fail.
-const FAULT_LOAD: f64 = 24.0;
+/// Load, in requests, that a failure rate of 1 adds to a server.
+const FAILURE_LOAD: f64 = 24.0;
 
-/// Load of a stream that makes events, in prompts that are read: each adds some percent to a step
-/// and holds memory that a prompt needs.
-const RUN_LOAD: f64 = 0.2;
+/// Load of a stream that produces events, relative to a stream in prefill: it lengthens each engine
+/// step by a few percent and holds memory that a prompt needs.
+const GENERATION_LOAD: f64 = 0.2;
 
-/// First time that a server which cannot be reached is put behind the others. Source: an engine
-/// that crashed takes about a second to start again.
-const FIRST_SUSPICION: Duration = Duration::from_secs(1);
+/// Initial time for which an unreachable server is ranked behind the others. An engine that crashed
+/// takes about a second to restart.
+const INITIAL_SUSPICION: Duration = Duration::from_secs(1);
 
-/// Longest time that a server which cannot be reached is put behind the others.
-const LONGEST_SUSPICION: Duration = Duration::from_secs(4);
+/// Longest time for which an unreachable server is ranked behind the others.
+const MAX_SUSPICION: Duration = Duration::from_secs(4);
 
-/// Time for which an answer speaks against what other entries say.
-const OWN_EVIDENCE: Duration = Duration::from_millis(300);
+/// Time after a response during which other entries' reports that the server is unreachable are
+/// ignored.
+const OWN_RESPONSE_VALIDITY: Duration = Duration::from_millis(300);
 
-/// Time that a server which others could not reach is put behind the others; they tell it again
-/// while it lasts.
-const TOLD_SUSPICION: Duration = Duration::from_millis(500);
+/// Time for which a server that other entries reported as unreachable is ranked behind the others.
+/// The reports are repeated while the server remains unreachable.
+const REPORTED_SUSPICION: Duration = Duration::from_millis(500);
 
-/// What is known of one server's load and health.
+/// Load and health of one server, as known to this entry.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Load {
-    own: u32,
-    reading: u32,
-    others: f64,
+    own_requests: u32,
+    prefilling: u32,
+    other_requests: f64,
     reported_at: Duration,
-    faults: f64,
-    answered_at: Duration,
-    suspected_until: Duration,
+    failure_rate: f64,
+    responded_at: Duration,
+    suspect_until: Duration,
     suspicions: u32,
 }
 
 impl Load {
-    /// Counts a request that is sent.
+    /// Counts a request sent to the server.
     pub fn request_started(&mut self) {
-        self.own = self.own.saturating_add(1);
+        self.own_requests = self.own_requests.saturating_add(1);
     }
 
     /// Counts a request that has ended.
     pub fn request_ended(&mut self) {
-        self.own = self.own.saturating_sub(1);
+        self.own_requests = self.own_requests.saturating_sub(1);
     }
 
-    /// Returns the requests of this entry at the server.
+    /// Returns the number of this entry's requests in progress at the server.
     #[must_use]
     pub fn own_requests(&self) -> u32 {
-        self.own
+        self.own_requests
     }
 
-    /// Counts a stream whose first event is awaited.
+    /// Counts a stream that waits for its first event.
     pub fn prefill_started(&mut self) {
-        self.reading = self.reading.saturating_add(1);
+        self.prefilling = self.prefilling.saturating_add(1);
     }
 
-    /// Counts a stream whose first event came, or that ended before it.
+    /// Counts a stream that received its first event, or ended before it.
     pub fn prefill_ended(&mut self) {
-        self.reading = self.reading.saturating_sub(1);
+        self.prefilling = self.prefilling.saturating_sub(1);
     }
 
-    /// Returns the streams of this entry at the server.
+    /// Returns the number of this entry's streams at the server.
     #[must_use]
     pub fn streams(&self) -> Count {
         Count {
-            streams: self.own,
-            prefilling: self.reading,
+            streams: self.own_requests,
+            prefilling: self.prefilling,
         }
     }
 
-    /// Returns whether none of this entry's streams at the server has made an event.
+    /// Returns whether none of this entry's streams at the server has received an event yet.
     #[must_use]
     pub fn only_prefilling(&self) -> bool {
-        self.reading >= self.own
+        self.prefilling >= self.own_requests
     }
 
-    /// Returns the load of streams, counted in prompts that are read: a stream that is past its
-    /// prompt delays others by a fraction of what a prompt does.
+    /// Returns the load of the streams of this entry and of `peers`, in units of one stream in
+    /// prefill: a stream past its prefill delays others by a fraction of what a prefill does.
     #[must_use]
     pub fn stream_load(&self, peers: Count) -> f64 {
-        let reading = f64::from(self.reading + peers.prefilling);
-        reading + f64::from(self.own + peers.streams) * RUN_LOAD
+        let prefilling = f64::from(self.prefilling + peers.prefilling);
+        prefilling + f64::from(self.own_requests + peers.streams) * GENERATION_LOAD
     }
 
-    /// Takes in a report of all requests at the server, this entry's included.
+    /// Records the server's report of all its requests, including those of this entry.
     pub fn record_report(&mut self, requests: u32, now: Duration) {
-        self.others = f64::from(requests.saturating_sub(self.own));
+        self.other_requests = f64::from(requests.saturating_sub(self.own_requests));
         self.reported_at = now;
     }
 
-    /// Notes how a request ended at the server.
+    /// Records whether a request to the server failed.
     pub fn record_outcome(&mut self, failed: bool, now: Duration) {
-        self.answered_at = now;
+        self.responded_at = now;
         let value = if failed { 1.0 } else { 0.0 };
-        self.faults += (value - self.faults) * OUTCOME_WEIGHT;
+        self.failure_rate += (value - self.failure_rate) * OUTCOME_WEIGHT;
         if !failed {
             self.suspicions = 0;
-            self.suspected_until = Duration::ZERO;
+            self.suspect_until = Duration::ZERO;
         }
     }
 
-    /// Notes that the server could not be reached, or was lost.
+    /// Records that the server could not be reached, or was lost.
     pub fn record_unreachable(&mut self, now: Duration) {
-        let doubled = FIRST_SUSPICION * 2_u32.pow(self.suspicions.min(4));
+        let backoff = INITIAL_SUSPICION * 2_u32.pow(self.suspicions.min(4));
         self.suspicions = self.suspicions.saturating_add(1);
-        self.suspected_until = now + doubled.min(LONGEST_SUSPICION);
+        self.suspect_until = now + backoff.min(MAX_SUSPICION);
     }
 
-    /// Notes that another entry could not reach the server; returns whether this entry has not
-    /// heard of it lately either, so that it is put behind the others for a short while.
+    /// Records that another entry could not reach the server. Returns whether the server is ranked
+    /// behind the others as a result, which it is unless it responded to this entry recently.
     pub fn record_peer_unreachable(&mut self, now: Duration) -> bool {
-        if now.saturating_sub(self.answered_at) < OWN_EVIDENCE {
+        if now.saturating_sub(self.responded_at) < OWN_RESPONSE_VALIDITY {
             return false;
         }
-        self.suspected_until = self.suspected_until.max(now + TOLD_SUSPICION);
+        self.suspect_until = self.suspect_until.max(now + REPORTED_SUSPICION);
         true
     }
 
-    /// Returns whether the server is put behind the others.
+    /// Returns whether the server is ranked behind the others.
     #[must_use]
     pub fn suspect(&self, now: Duration) -> bool {
-        now < self.suspected_until
+        now < self.suspect_until
     }
 
-    /// Returns the share of requests that failed lately.
+    /// Returns the share of recent requests that failed.
     #[must_use]
     pub fn failure_rate(&self) -> f64 {
-        self.faults
+        self.failure_rate
     }
 
-    /// Returns the requests that are probably at the server. Those of other entries fade over
-    /// `horizon`, about as long as one of the service's requests lasts.
+    /// Returns the estimated number of requests at the server. The reported number of other entries'
+    /// requests decays over `horizon`, about the duration of one of the service's requests.
     #[must_use]
     pub fn estimate(&self, now: Duration, horizon: Duration) -> f64 {
         let age = now.saturating_sub(self.reported_at).as_secs_f64();
-        let fresh = (-age / horizon.as_secs_f64().max(1e-3)).exp();
-        f64::from(self.own) + self.others * fresh
+        let decay = (-age / horizon.as_secs_f64().max(1e-3)).exp();
+        f64::from(self.own_requests) + self.other_requests * decay
     }
 }
 
-/// A server that may take the request.
+/// A server that the request can be sent to.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
     /// Hash of the server's name, from [`crate::placement::name_hash`].
     pub hash: u64,
-    /// How near the server is.
+    /// Proximity of the server to this entry.
     pub proximity: Proximity,
-    /// Requests that are probably at the server.
+    /// Estimated number of requests at the server.
     pub requests: f64,
-    /// Requests that it serves at once.
+    /// Requests that the server processes concurrently.
     pub slots: u32,
-    /// Share of its requests that failed lately.
+    /// Share of its recent requests that failed.
     pub failure_rate: f64,
-    /// Whether it could not be reached lately.
+    /// Whether the server was unreachable recently.
     pub suspect: bool,
 }
 
-/// Returns the index of the candidate to send to. `distance` is the load, in requests, that a
-/// server in another failure domain counts for; `lot` breaks ties.
+/// Returns the index of the candidate to send the request to, if there is any. `distance` is the
+/// load, in requests, added to a server in another failure domain; `request_hash` breaks ties.
 #[must_use]
-pub fn choose(candidates: &[Candidate], distance: f64, lot: u64) -> Option<usize> {
-    let usual = candidates
+pub fn choose(candidates: &[Candidate], distance: f64, request_hash: u64) -> Option<usize> {
+    let lowest_failure_rate = candidates
         .iter()
         .map(|candidate| candidate.failure_rate)
         .fold(f64::INFINITY, f64::min);
     let cost = |candidate: &Candidate| {
-        let over = (candidate.requests + 1.0 - f64::from(candidate.slots)).max(0.0);
-        let away = match candidate.proximity {
+        let excess = (candidate.requests + 1.0 - f64::from(candidate.slots)).max(0.0);
+        let distance_cost = match candidate.proximity {
             Proximity::FailureDomain => 0.0,
             Proximity::Region => distance,
             Proximity::Anywhere => 2.0 * distance,
         };
-        candidate.requests + 4.0 * over + away + FAULT_LOAD * (candidate.failure_rate - usual)
+        candidate.requests
+            + 4.0 * excess
+            + distance_cost
+            + FAILURE_LOAD * (candidate.failure_rate - lowest_failure_rate)
     };
     candidates
         .iter()
         .enumerate()
         .min_by(|(_, left), (_, right)| {
-            let order = left.suspect.cmp(&right.suspect);
-            // Loads within half a request are alike: entries know no more of one another's.
-            let level = |candidate: &Candidate| (cost(candidate) * 2.0).round();
-            let weight = |candidate: &Candidate| Reverse(mix(candidate.hash ^ lot));
-            order
-                .then(level(left).total_cmp(&level(right)))
-                .then(weight(left).cmp(&weight(right)))
+            let by_suspicion = left.suspect.cmp(&right.suspect);
+            // Costs are rounded to half a request: the load of other entries is not known more
+            // precisely.
+            let rounded_cost = |candidate: &Candidate| (cost(candidate) * 2.0).round();
+            let tie_break = |candidate: &Candidate| Reverse(mix(candidate.hash ^ request_hash));
+            by_suspicion
+                .then(rounded_cost(left).total_cmp(&rounded_cost(right)))
+                .then(tie_break(left).cmp(&tie_break(right)))
         })
         .map(|(index, _)| index)
 }
 
-/// Part of the servers asked that are in the caller's own failure domain, where most streams run.
-const NEAR_PART: (usize, usize) = (5, 8);
+/// Share of the returned servers, as a fraction, that is taken from the entry's own failure domain,
+/// where most streams run.
+const LOCAL_SHARE: (usize, usize) = (5, 8);
 
-/// Returns the indices of the servers to which [`choose`] probably sent a request with the lot `lot`
-/// before, at most `count`: among servers as loaded it sends to the one that the lot favours.
+/// Returns the indices of the servers, at most `count`, to which [`choose`] has probably sent the
+/// request with the hash `request_hash`: among equally loaded servers the hash decides.
 ///
-/// The load that answers: after all entries stopped at once, callers go on with their streams at
-/// entries that know nothing of them; asking all servers of a large fleet would take longer than
-/// reading the prompts anew.
+/// After all entries have restarted, callers resume their streams at entries that have no state for
+/// them. Querying every server of a large fleet would take longer than repeating the prefill.
 #[must_use]
-pub fn likely_servers(servers: &[(u64, Proximity)], lot: u64, count: usize) -> Vec<usize> {
+pub fn likely_servers(servers: &[(u64, Proximity)], request_hash: u64, count: usize) -> Vec<usize> {
     let mut order: Vec<usize> = (0..servers.len()).collect();
-    order.sort_by_key(|index| Reverse(mix(servers[*index].0 ^ lot)));
-    let (mut near, mut far): (Vec<usize>, Vec<usize>) = order
+    order.sort_by_key(|index| Reverse(mix(servers[*index].0 ^ request_hash)));
+    let (mut local, mut remote): (Vec<usize>, Vec<usize>) = order
         .into_iter()
         .partition(|index| servers[*index].1 == Proximity::FailureDomain);
-    let part = count * NEAR_PART.0 / NEAR_PART.1;
-    let others = far.len().min(count - part);
-    near.truncate(count - others);
-    far.truncate(count - near.len());
-    near.append(&mut far);
-    near
+    let local_count = count * LOCAL_SHARE.0 / LOCAL_SHARE.1;
+    let remote_count = remote.len().min(count - local_count);
+    local.truncate(count - remote_count);
+    remote.truncate(count - local.len());
+    local.append(&mut remote);
+    local
 }
--- a/coordination/src/canary.rs
+++ b/coordination/src/canary.rs
@@ -1,13 +1,15 @@
-//! The move of a service to another version, as one entry decides on it with what its peers tell.
+//! The move of a service to another version, decided by each entry from its own observations and
+//! its peers' reports.
 //!
-//! The order names the new version and the time by which the move has to end. First a few requests
-//! try the new version, as many as leave half of what a bad version may get. What they show is told
-//! to all entries and compared with what the old version showed here. A version that proves worse
-//! gets nothing more. One that does not gets all requests shortly before the end, so that few are
-//! still at the old servers when these stop, and is declared good at the end.
+//! The operators' order names the new version (the canary) and the duration of the move. In the
+//! trial phase a few requests go to the canary, at most half of the requests that a bad version may
+//! receive. Their outcomes are reported to all entries and compared with those of the version in
+//! force (the baseline). A canary that performs worse receives no more requests. Otherwise all
+//! requests are shifted to it shortly before the end, so that few are still at the baseline servers
+//! when these stop, and the canary is declared good at the end.
 //!
-//! Nothing is agreed on: each entry takes its own part of what a bad version may get, and an entry
-//! that finds evidence tells the others.
+//! The entries need no consensus: each uses its own share of the requests that a bad version may
+//! receive, and an entry that rejects the canary reports this to the others.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -17,122 +19,126 @@
 
 use crate::evidence::{Cohort, Evidence, Observation, Tolerance};
 
-/// Part of what a bad version may get that the trial takes; the rest is for the end of the move.
-const TRIAL_PART: f64 = 0.5;
+/// Share of the planned requests to the canary that the trial phase uses; the rest is for the shift
+/// at the end of the move.
+const TRIAL_SHARE: f64 = 0.5;
 
-/// Part of what a bad version may get that is used at all: requests in flight are counted late.
-const USED_PART: f64 = 0.85;
+/// Share of the allowed requests that is planned for: requests in flight are counted late.
+const PLANNED_SHARE: f64 = 0.85;
 
-/// Part of what a bad version may get that is never exceeded: repeats are not counted here.
-const MOST_PART: f64 = 0.95;
+/// Share of the allowed requests that is never exceeded: retries are not counted here.
+const MAX_SHARE: f64 = 0.95;
 
-/// Fewest answers of a version that may be found good. Five good answers in a row come about once
-/// in thirty times from a version that fails every other request.
-const FEWEST: u64 = 5;
+/// Responses of the canary that are required to declare it good. A version that fails every other
+/// request gives five good responses in a row about once in thirty times.
+const MIN_RESPONSES: u64 = 5;
 
-/// Time before the end of the move at which it is decided, so that the operators learn it in time.
-const MARGIN: Duration = Duration::from_millis(600);
+/// Time before the end of the move at which it is decided, so that the operators receive the verdict
+/// in time.
+const DECISION_MARGIN: Duration = Duration::from_millis(600);
 
-/// Shortest time after which the rate of requests is known well enough to plan the end.
-const RATE_KNOWN: Duration = Duration::from_secs(2);
+/// Shortest time over which the request rate is measured before the final shift is planned.
+const MIN_RATE_WINDOW: Duration = Duration::from_secs(2);
 
-/// Time that an entry which did not see the order given waits for peers that did.
-const AGE_WAIT: Duration = Duration::from_secs(3);
+/// Time for which an entry that does not know the age of the order waits for a peer's report.
+const ORDER_AGE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time after a good end for which the old servers still count as there.
-const OLD_STOP: Duration = Duration::from_secs(5);
+/// Time after a good end for which baseline servers may still be running.
+const BASELINE_STOP_GRACE: Duration = Duration::from_secs(5);
 
-/// Most observations of the new version that an entry tells.
-const TOLD: usize = 256;
+/// Maximum number of observations of the canary that an entry reports.
+const CANARY_REPORT_LIMIT: usize = 256;
 
-/// Observations of the old version that an entry tells at once, and each second: an entry of a
-/// large fleet has too few of its own to compare with.
-const OLD_TOLD: (u32, u32) = (8, 2);
+/// Observations of the baseline that an entry may report, as an initial number and a number added
+/// each second. An entry of a large fleet has too few of its own for the comparison.
+const BASELINE_REPORT_LIMIT: (u32, u32) = (8, 2);
 
-/// What a bad version may get.
+/// Limits on the requests that a bad version may receive.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
     /// Share of the service's requests during the move.
     pub share: f64,
-    /// Requests on top of that, over all entries.
+    /// Further requests, over all entries.
     pub slack: f64,
 }
 
-/// The operators' order.
+/// The operators' order to move a service.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Order {
     /// The version to move to.
     pub version: Arc<str>,
     /// Revision of the order in the store.
     pub revision: u64,
-    /// Time that the move may take.
+    /// Duration of the move.
     pub duration: Duration,
 }
 
 /// How a move ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Verdict {
-    /// The new version serves.
+    /// The new version stays in use.
     Good,
-    /// The old version serves.
+    /// The old version stays in use.
     Bad {
-        /// Why.
+        /// Reason for the rejection.
         reason: Arc<str>,
     },
 }
 
-/// What an entry tells of a move.
+/// An entry's report to its peers about a move.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Report {
     /// Revision of the order.
     pub revision: u64,
-    /// Time since the order, in milliseconds; nothing if the entry does not know.
+    /// Time since the order, in milliseconds; `None` if the entry does not know it.
     pub age_ms: Option<u64>,
-    /// How the move ended, as far as the entry knows.
+    /// How the move ended, if it has ended.
     pub verdict: Option<Verdict>,
-    /// What the new version showed to the entry, and some of what the old one showed.
+    /// The entry's observations of the canary, and some of its observations of the baseline.
     #[serde(rename = "seen")]
     pub observations: Vec<Observation>,
 }
 
-/// A move.
+/// The state of a move at one entry.
 #[derive(Clone, Debug)]
 pub struct Canary {
     order: Order,
     bounds: Bounds,
     offset: f64,
-    known_at: Duration,
-    began: Option<Duration>,
+    created_at: Duration,
+    ordered_at: Option<Duration>,
     evidence: Evidence,
     requests: u32,
+    /// Requests sent to the new version.
     sent: u32,
-    closing: bool,
+    shifting: bool,
     verdict: Option<Verdict>,
-    seen: Vec<Observation>,
-    old_told: u32,
-    taken: HashMap<Arc<str>, usize>,
+    observations: Vec<Observation>,
+    baseline_reported: u32,
+    received: HashMap<Arc<str>, usize>,
 }
 
 impl Canary {
-    /// Returns the move that is ordered. `given_now` says whether this entry saw the order given;
-    /// else its age has to be learnt from peers. `offset`, from 0 to 1 and even over the entries,
-    /// rounds this entry's part of what a bad version may get, which is below one in a large fleet.
+    /// Returns the state of a newly ordered move. `issued_now` says that the order was issued just
+    /// now; otherwise its age is taken from peers' reports. `offset`, uniform from 0 to 1 over the
+    /// entries, is the rounding offset of this entry's share of the requests to a bad version, which
+    /// is below one in a large fleet.
     #[must_use]
-    pub fn new(order: Order, bounds: Bounds, offset: f64, given_now: bool, now: Duration) -> Self {
+    pub fn new(order: Order, bounds: Bounds, offset: f64, issued_now: bool, now: Duration) -> Self {
         Self {
             order,
             bounds,
             offset,
-            known_at: now,
-            began: given_now.then_some(now),
+            created_at: now,
+            ordered_at: issued_now.then_some(now),
             evidence: Evidence::new(Tolerance::default(), 1),
             requests: 0,
             sent: 0,
-            closing: false,
+            shifting: false,
             verdict: None,
-            seen: Vec::new(),
-            old_told: 0,
-            taken: HashMap::new(),
+            observations: Vec::new(),
+            baseline_reported: 0,
+            received: HashMap::new(),
         }
     }
 
@@ -148,173 +154,184 @@
         self.verdict.as_ref()
     }
 
-    /// Counts a new request and returns the version it goes to; nothing if it does not matter any
-    /// more. `entries` share what a bad version may get.
+    /// Counts a new request and returns the cohort that serves it, or `None` after a good end, when
+    /// the baseline servers have stopped. The requests that a bad version may receive are divided
+    /// among `entries` entries.
     pub fn assign(&mut self, entries: u32, now: Duration) -> Option<Cohort> {
         self.requests = self.requests.saturating_add(1);
         if let Some(verdict) = &self.verdict {
-            return self.settled(verdict, now);
+            return self.cohort_after(verdict, now);
         }
-        let Some(began) = self.began else {
+        let Some(ordered_at) = self.ordered_at else {
             return Some(Cohort::Baseline);
         };
-        self.closing = self.closing || self.may_close(entries, now.saturating_sub(began));
-        let most = if self.closing {
-            MOST_PART * self.allowed(entries, f64::from(self.requests))
+        self.shifting = self.shifting || self.may_shift(entries, now.saturating_sub(ordered_at));
+        let limit = if self.shifting {
+            MAX_SHARE * self.bad_version_limit(entries, f64::from(self.requests))
         } else {
-            self.trial(entries, now)
+            self.trial_limit(entries, now)
         };
-        if f64::from(self.sent + 1) > most + self.offset {
+        if f64::from(self.sent + 1) > limit + self.offset {
             return Some(Cohort::Baseline);
         }
         self.sent += 1;
         Some(Cohort::Canary)
     }
 
-    /// Returns the version that a repeat of a request goes to: the one that is known to serve.
+    /// Returns the cohort that serves a retry: the version that is known to work.
     #[must_use]
     pub fn assign_retry(&self, now: Duration) -> Option<Cohort> {
         match &self.verdict {
-            Some(verdict) => self.settled(verdict, now),
-            None if self.closing => Some(Cohort::Canary),
+            Some(verdict) => self.cohort_after(verdict, now),
+            None if self.shifting => Some(Cohort::Canary),
             None => Some(Cohort::Baseline),
         }
     }
 
-    fn settled(&self, verdict: &Verdict, now: Duration) -> Option<Cohort> {
-        let began = self.began.unwrap_or(self.known_at);
+    fn cohort_after(&self, verdict: &Verdict, now: Duration) -> Option<Cohort> {
+        let ordered_at = self.ordered_at.unwrap_or(self.created_at);
         match verdict {
             Verdict::Bad { .. } => Some(Cohort::Baseline),
-            Verdict::Good if now < began + self.order.duration + OLD_STOP => Some(Cohort::Canary),
+            Verdict::Good if now < ordered_at + self.order.duration + BASELINE_STOP_GRACE => {
+                Some(Cohort::Canary)
+            }
             Verdict::Good => None,
         }
     }
 
-    /// Returns how many requests the trial may have sent to the new version by now.
-    fn trial(&self, entries: u32, now: Duration) -> f64 {
-        let began = self.began.unwrap_or(now);
-        let lasts = self.order.duration.as_secs_f64().max(1e-3);
-        let gone = (now.saturating_sub(began).as_secs_f64() / lasts).min(1.0);
-        let slack = self.bounds.slack / f64::from(entries.max(1)) * gone;
-        TRIAL_PART * USED_PART * (self.bounds.share * f64::from(self.requests) + slack)
+    /// Returns how many requests the trial phase may have sent to the canary by now.
+    fn trial_limit(&self, entries: u32, now: Duration) -> f64 {
+        let ordered_at = self.ordered_at.unwrap_or(now);
+        let duration = self.order.duration.as_secs_f64().max(1e-3);
+        let elapsed = (now.saturating_sub(ordered_at).as_secs_f64() / duration).min(1.0);
+        let slack = self.bounds.slack / f64::from(entries.max(1)) * elapsed;
+        TRIAL_SHARE * PLANNED_SHARE * (self.bounds.share * f64::from(self.requests) + slack)
     }
 
-    /// Returns this entry's part of what a bad version may get of `requests`.
-    fn allowed(&self, entries: u32, requests: f64) -> f64 {
+    /// Returns how many of `requests` a bad version may receive from this entry.
+    fn bad_version_limit(&self, entries: u32, requests: f64) -> f64 {
         self.bounds.share * requests + self.bounds.slack / f64::from(entries.max(1))
     }
 
-    /// Returns whether all requests until the end may go to the new version, which has proved no
-    /// worse so far, without more of them than a bad version may get.
-    fn may_close(&self, entries: u32, age: Duration) -> bool {
-        if age < RATE_KNOWN.min(self.order.duration / 2) || !self.proved() {
+    /// Returns whether the canary has passed the trial phase so far, and all requests until the end
+    /// of the move can go to it without exceeding the limit for a bad version.
+    fn may_shift(&self, entries: u32, age: Duration) -> bool {
+        if age < MIN_RATE_WINDOW.min(self.order.duration / 2) || !self.passed() {
             return false;
         }
-        let left = self.order.duration.saturating_sub(age).as_secs_f64();
-        let to_come = f64::from(self.requests) / age.as_secs_f64().max(1e-3) * left;
-        let all = f64::from(self.requests) + to_come;
-        f64::from(self.sent) + to_come <= USED_PART * self.allowed(entries, all) + self.offset
+        let remaining = self.order.duration.saturating_sub(age).as_secs_f64();
+        let expected = f64::from(self.requests) / age.as_secs_f64().max(1e-3) * remaining;
+        let total = f64::from(self.requests) + expected;
+        f64::from(self.sent) + expected
+            <= PLANNED_SHARE * self.bad_version_limit(entries, total) + self.offset
     }
 
-    /// Returns whether enough is known of the new version, and nothing speaks against it.
-    fn proved(&self) -> bool {
-        self.evidence.requests() >= FEWEST && !self.evidence.suspect()
+    /// Returns whether the canary has answered enough requests and shows no sign of being worse.
+    fn passed(&self) -> bool {
+        self.evidence.requests() >= MIN_RESPONSES && !self.evidence.suspect()
     }
 
-    /// Takes in what an answer to this entry showed.
+    /// Adds an observation that this entry made.
     pub fn observe(&mut self, observation: Observation, now: Duration) {
         if self.verdict.is_some() {
             return;
         }
         self.evidence.observe(&observation);
-        let age = now.saturating_sub(self.began.unwrap_or(now)).as_secs();
+        let age = now.saturating_sub(self.ordered_at.unwrap_or(now)).as_secs();
         let seconds = u32::try_from(age).unwrap_or(u32::MAX);
-        let most_old = OLD_TOLD
+        let baseline_limit = BASELINE_REPORT_LIMIT
             .0
-            .saturating_add(OLD_TOLD.1.saturating_mul(seconds));
-        let told = match observation.cohort {
-            Cohort::Canary => self.seen.len() < TOLD,
-            Cohort::Baseline => self.old_told < most_old,
+            .saturating_add(BASELINE_REPORT_LIMIT.1.saturating_mul(seconds));
+        let reported = match observation.cohort {
+            Cohort::Canary => self.observations.len() < CANARY_REPORT_LIMIT,
+            Cohort::Baseline => self.baseline_reported < baseline_limit,
         };
-        if told {
-            self.old_told += u32::from(observation.cohort == Cohort::Baseline);
-            self.seen.push(observation);
+        if reported {
+            self.baseline_reported += u32::from(observation.cohort == Cohort::Baseline);
+            self.observations.push(observation);
         }
-        self.weigh();
+        self.check_evidence();
     }
 
-    /// Takes in what a peer tells.
+    /// Merges a peer's report.
     pub fn receive(&mut self, peer: &Arc<str>, report: Report, now: Duration) {
         if report.revision != self.order.revision {
             return;
         }
         if let Some(age) = report.age_ms {
-            let began = now.saturating_sub(Duration::from_millis(age));
-            self.began = Some(self.began.map_or(began, |known| known.min(began)));
+            let ordered_at = now.saturating_sub(Duration::from_millis(age));
+            self.ordered_at = Some(
+                self.ordered_at
+                    .map_or(ordered_at, |known| known.min(ordered_at)),
+            );
         }
         if self.verdict.is_some() {
             return;
         }
-        let taken = self.taken.entry(Arc::clone(peer)).or_default();
-        let fresh = report.observations.get(*taken..).unwrap_or_default();
-        for seen in fresh {
-            self.evidence.observe(seen);
+        let received = self.received.entry(Arc::clone(peer)).or_default();
+        let new = report.observations.get(*received..).unwrap_or_default();
+        for observation in new {
+            self.evidence.observe(observation);
         }
-        *taken = (*taken).max(report.observations.len());
+        *received = (*received).max(report.observations.len());
         match report.verdict {
             Some(Verdict::Bad { reason }) => self.verdict = Some(Verdict::Bad { reason }),
-            _ => self.weigh(),
+            _ => self.check_evidence(),
         }
     }
 
-    /// Takes in the end that is recorded in the store; it goes before what this entry found.
+    /// Sets the verdict recorded in the store, which takes precedence over this entry's own.
     pub fn record(&mut self, verdict: Verdict) {
         self.verdict = Some(verdict);
     }
 
-    fn weigh(&mut self) {
+    fn check_evidence(&mut self) {
         if let Some(reason) = self.evidence.rejection() {
-            self.end(&reason);
+            self.reject(&reason);
         }
     }
 
-    fn end(&mut self, reason: &str) {
+    fn reject(&mut self, reason: &str) {
         self.verdict = Some(Verdict::Bad {
             reason: Arc::from(reason),
         });
     }
 
-    /// Ends the move if its time has come, and returns whether it has just ended.
+    /// Ends the move if it is due, and returns whether it has ended by this call.
     pub fn conclude(&mut self, now: Duration) -> bool {
         if self.verdict.is_some() {
             return false;
         }
-        let age = self.began.map(|began| now.saturating_sub(began));
+        let age = self
+            .ordered_at
+            .map(|ordered_at| now.saturating_sub(ordered_at));
         match age {
-            None if now.saturating_sub(self.known_at) >= AGE_WAIT => {
-                self.end("all entries started again since the order, whose age is not known");
+            None if now.saturating_sub(self.created_at) >= ORDER_AGE_TIMEOUT => {
+                self.reject("all entries started again since the order, whose age is not known");
             }
-            Some(age) if age + MARGIN >= self.order.duration && self.proved() => {
+            Some(age) if age + DECISION_MARGIN >= self.order.duration && self.passed() => {
                 self.verdict = Some(Verdict::Good);
             }
-            Some(age) if age + MARGIN >= self.order.duration => {
+            Some(age) if age + DECISION_MARGIN >= self.order.duration => {
                 let answers = self.evidence.requests();
-                self.end(&format!("not proved good in time by {answers} answers"));
+                self.reject(&format!("not proved good in time by {answers} answers"));
             }
             _ => return false,
         }
         true
     }
 
-    /// Returns what this entry tells of the move.
+    /// Returns this entry's report to its peers.
     #[must_use]
     pub fn report(&self, now: Duration) -> Report {
-        let age = self.began.map(|began| now.saturating_sub(began));
+        let age = self
+            .ordered_at
+            .map(|ordered_at| now.saturating_sub(ordered_at));
         Report {
             revision: self.order.revision,
             age_ms: age.map(|age| u64::try_from(age.as_millis()).unwrap_or(u64::MAX)),
             verdict: self.verdict.clone(),
-            observations: self.seen.clone(),
+            observations: self.observations.clone(),
         }
     }
 }
--- a/coordination/src/ejection.rs
+++ b/coordination/src/ejection.rs
@@ -1,5 +1,5 @@
-//! Ejection of backend servers that fail again and again, bounded so that a fault that all share
-//! does not empty the pool.
+//! Ejection of backend servers that fail repeatedly (outlier detection), bounded so that a fault
+//! that all servers share does not empty the pool.
 //!
 //! ```
 //! use std::time::Duration;
@@ -18,29 +18,29 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Failures in a row after which a server is ejected.
-const FAILURES: u32 = 3;
+/// Consecutive failures after which a server is ejected.
+const CONSECUTIVE_FAILURES: u32 = 3;
 
-/// Shortest time that a server is ejected for.
-const SHORTEST: Duration = Duration::from_secs(1);
+/// Shortest time for which a server is ejected.
+const MIN_EJECTION: Duration = Duration::from_secs(1);
 
-/// Longest time that a server is ejected for.
-const LONGEST: Duration = Duration::from_secs(30);
+/// Longest time for which a server is ejected.
+const MAX_EJECTION: Duration = Duration::from_secs(30);
 
-/// Most doublings of the time.
-const DOUBLINGS: u32 = 5;
+/// Maximum number of times that the ejection time is doubled.
+const MAX_DOUBLINGS: u32 = 5;
 
-/// At most one server in this many is ejected at once.
-const POOL_PART: usize = 2;
+/// Divisor of the pool size: at most one server in this many is ejected at the same time.
+const POOL_DIVISOR: usize = 2;
 
-/// What is known of one server.
+/// Failure state of one server.
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
     failures: u32,
-    until: Duration,
+    ejected_until: Duration,
 }
 
-/// Decides which servers of one pool are ejected.
+/// The ejection state of one pool of servers.
 #[derive(Clone, Debug, Default)]
 pub struct Ejector {
     records: HashMap<Arc<str>, Record>,
@@ -53,24 +53,24 @@
         Self::default()
     }
 
-    /// Returns whether no server has failed lately.
+    /// Returns whether no server has failed since its last success.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Notes that a server failed.
+    /// Records a failure of a server.
     pub fn record_failure(&mut self, server: Arc<str>, now: Duration) {
         let record = self.records.entry(server).or_default();
         record.failures = record.failures.saturating_add(1);
-        if record.failures < FAILURES {
+        if record.failures < CONSECUTIVE_FAILURES {
             return;
         }
-        let doublings = (record.failures - FAILURES).min(DOUBLINGS);
-        record.until = now + (SHORTEST * 2_u32.pow(doublings)).min(LONGEST);
+        let doublings = (record.failures - CONSECUTIVE_FAILURES).min(MAX_DOUBLINGS);
+        record.ejected_until = now + (MIN_EJECTION * 2_u32.pow(doublings)).min(MAX_EJECTION);
     }
 
-    /// Notes that a server answered; it is no longer ejected.
+    /// Records a success of a server, which ends its ejection.
     pub fn record_success(&mut self, server: &str) {
         self.records.remove(server);
     }
@@ -78,15 +78,19 @@
     /// Returns whether a server of a pool of `pool` servers is ejected at `now`.
     #[must_use]
     pub fn ejected(&self, server: &str, pool: usize, now: Duration) -> bool {
-        let Some(record) = self.records.get(server).filter(|record| record.until > now) else {
+        let Some(record) = self
+            .records
+            .get(server)
+            .filter(|record| record.ejected_until > now)
+        else {
             return false;
         };
-        let rank = |name: &str, record: &Record| (record.until, name.to_owned());
+        let rank = |name: &str, record: &Record| (record.ejected_until, name.to_owned());
         let own = rank(server, record);
         let ahead = self
             .records
             .iter()
-            .filter(|(name, other)| other.until > now && rank(name, other) > own);
-        ahead.count() < pool / POOL_PART
+            .filter(|(name, other)| other.ejected_until > now && rank(name, other) > own);
+        ahead.count() < pool / POOL_DIVISOR
     }
 }
--- a/coordination/src/evidence.rs
+++ b/coordination/src/evidence.rs
@@ -1,11 +1,12 @@
-//! Evidence for and against a new version, compared with the old one over the same time.
+//! Sequential tests of whether the new version (the canary) performs worse than the version in
+//! force (the baseline) over the same time.
 //!
-//! Each test is a betting process: its value starts at 1 and, while the new version is no worse
-//! than tolerated, is not expected to grow. By Ville's inequality the chance that it ever reaches
-//! `1 / a` is then at most `a`, however often it is looked at. A mixture over the observation at
-//! which a fault may have begun finds faults that show late; a mixture over alternatives finds
-//! strong and weak ones. A test speaks against the new version only if it is worse than an absolute
-//! bound and worse than the old version.
+//! Each test is a betting process (a test martingale): its value starts at 1 and its expectation
+//! does not grow while the canary is no worse than tolerated. By Ville's inequality the probability
+//! that it ever reaches `1 / a` is then at most `a`, however often it is evaluated. A mixture over
+//! the observation at which a fault may have begun detects faults that appear late; a mixture over
+//! alternatives detects strong and weak faults. A test rejects the canary only if it is both worse
+//! than an absolute bound and worse than the baseline.
 //!
 //! ```
 //! use medlarfall_coordination::evidence::{Cohort, Evidence, Observation, Tolerance};
@@ -34,54 +35,60 @@
 
 use process::Test;
 
-/// Most routes that are tested one by one; further ones are tested in the whole only.
-const ROUTES: usize = 8;
+/// Maximum number of routes with their own tests; further routes count in the overall tests only.
+const MAX_ROUTES: usize = 8;
 
-/// Tests of a move's stage: of the whole and of each route, one of failures and, for each measure of
-/// time, one for each quantile.
-const TESTS: usize = (ROUTES + 1) * (1 + (Measure::ALL.len() - 1) * QUANTILES.len());
+/// Tests of a stage of a move: overall and for each route, one test of failures and, for each
+/// duration measure, one per quantile.
+const TESTS_PER_STAGE: usize = (MAX_ROUTES + 1) * (1 + (Measure::ALL.len() - 1) * QUANTILES.len());
 
-/// Old durations from which the bound of slowness is computed.
-const RECENT: usize = 128;
+/// Recent baseline durations from which the slowness bounds are computed.
+const RECENT_DURATIONS: usize = 128;
 
-/// Old durations after which the bound of slowness is computed anew.
-const FEWEST: usize = 16;
+/// Baseline durations after which the slowness bounds are recomputed.
+const RECOMPUTE_INTERVAL: usize = 16;
 
-/// Quantiles of the old durations from which slowness counts, in percent. The high one finds a new
-/// version whose slow answers are slower; the median one that is slower throughout, also where noise
-/// that both versions share lifts the old version's slow answers above the new version's usual ones.
+/// Quantiles of the baseline durations from which slowness is judged, in percent. The high one
+/// detects a canary whose slow responses are slower. The median detects one that is slower
+/// throughout, even when noise that affects both versions raises the baseline's slow responses above
+/// the canary's typical ones.
 const QUANTILES: [usize; 2] = [90, 50];
 
-/// Part of the needed evidence from which a test leans against the new version.
-const SUSPECT: f64 = 0.01;
+/// Share of the required evidence from which the canary is suspect.
+const SUSPECT_SHARE: f64 = 0.01;
 
-/// Which version answered.
+/// The version of a move that processed a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Cohort {
     /// The version in force before the move.
     #[serde(rename = "Old")]
     Baseline,
-    /// The version that is moved to.
+    /// The version that the move leads to.
     #[serde(rename = "New")]
     Canary,
 }
 
-/// What is compared.
+/// A property of attempts that is compared between the versions.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Measure {
     /// Whether the attempt failed.
     Failure,
     /// Time to the first token.
     FirstToken,
-    /// Time between tokens.
-    Gap,
-    /// Time of a whole call.
-    Call,
+    /// Mean time between tokens.
+    TokenGap,
+    /// Duration of a whole call.
+    CallDuration,
 }
 
 impl Measure {
     /// Every measure.
-    const ALL: [Self; 4] = [Self::Failure, Self::FirstToken, Self::Gap, Self::Call];
+    const ALL: [Self; 4] = [
+        Self::Failure,
+        Self::FirstToken,
+        Self::TokenGap,
+        Self::CallDuration,
+    ];
 }
 
 impl fmt::Display for Measure {
@@ -89,36 +96,36 @@
         formatter.write_str(match self {
             Self::Failure => "it fails more often",
             Self::FirstToken => "its first token comes later",
-            Self::Gap => "its tokens come more slowly",
-            Self::Call => "its calls take longer",
+            Self::TokenGap => "its tokens come more slowly",
+            Self::CallDuration => "its calls take longer",
         })
     }
 }
 
-/// What one attempt showed.
+/// The observed outcome of one attempt.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Observation {
-    /// Which version answered.
+    /// The version that processed the attempt.
     #[serde(rename = "side")]
     pub cohort: Cohort,
     /// Route of the request; empty for generations.
     pub route: Arc<str>,
-    /// Whether the attempt failed; absent while it runs.
+    /// Whether the attempt failed; `None` while it is in progress.
     pub failed: Option<bool>,
     /// Time to the first token.
     pub first: Option<Duration>,
     /// Mean time between tokens.
     pub gap: Option<Duration>,
-    /// Time of the whole call.
+    /// Duration of the whole call.
     pub call: Option<Duration>,
 }
 
 impl Observation {
-    /// Returns an observation without times.
+    /// Returns an observation without durations.
     #[must_use]
-    pub fn failure(side: Cohort, route: &str, failed: bool) -> Self {
+    pub fn failure(cohort: Cohort, route: &str, failed: bool) -> Self {
         Self {
-            cohort: side,
+            cohort,
             route: Arc::from(route),
             failed: Some(failed),
             first: None,
@@ -127,29 +134,29 @@
         }
     }
 
-    /// Returns the time that a measure compares.
-    fn time(&self, measure: Measure) -> Option<Duration> {
+    /// Returns the duration that a measure compares.
+    fn duration(&self, measure: Measure) -> Option<Duration> {
         match measure {
             Measure::Failure => None,
             Measure::FirstToken => self.first,
-            Measure::Gap => self.gap,
-            Measure::Call => self.call,
+            Measure::TokenGap => self.gap,
+            Measure::CallDuration => self.call,
         }
     }
 }
 
-/// What is tolerated of a new version.
+/// Tolerated degradation of the canary.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Tolerance {
-    /// Chance that a move of a good version is taken back.
+    /// Probability that the move of a good version is taken back.
     pub false_alarm: f64,
-    /// Share of failures that is borne whatever the old version does.
+    /// Share of failures that is tolerated regardless of the baseline.
     pub failures: f64,
-    /// Factor on the old version's slow times from which a time counts as slow.
+    /// Factor on the baseline's quantile from which a duration counts as slow.
     pub slowness: f64,
-    /// Least difference from the old version's slow times that counts as slow.
+    /// Minimum excess over the baseline's quantile that counts as slow.
     pub slack: Duration,
-    /// The same for the mean time between tokens, which varies less than single times.
+    /// The same for the mean time between tokens, which varies less than single durations.
     pub gap_slack: Duration,
 }
 
@@ -165,19 +172,19 @@
     }
 }
 
-/// From where a time counts as slow.
+/// Limits from which a duration counts as slow.
 #[derive(Clone, Copy, Debug)]
-struct Limits {
+struct SlowLimits {
     slowness: f64,
     slack: Duration,
 }
 
 impl Tolerance {
-    /// Returns from where the times of a measure count as slow.
-    fn of(&self, measure: Measure) -> Limits {
-        Limits {
+    /// Returns the limits from which the durations of a measure count as slow.
+    fn limits_of(&self, measure: Measure) -> SlowLimits {
+        SlowLimits {
             slowness: self.slowness,
-            slack: if measure == Measure::Gap {
+            slack: if measure == Measure::TokenGap {
                 self.gap_slack
             } else {
                 self.slack
@@ -186,150 +193,162 @@
     }
 }
 
-/// Share of slow times that is borne whatever the old version does.
+/// Share of slow durations that is tolerated regardless of the baseline.
 const SLOW_SHARE: f64 = 0.2;
 
-/// The same at a stage without requests to the old version.
-const SLOW_SHARE_ALONE: f64 = 0.4;
+/// The same at a stage without requests to the baseline.
+const SLOW_SHARE_WITHOUT_BASELINE: f64 = 0.4;
 
-/// The tests of one measure on one route: one of failures, or one for each quantile of times.
+/// The tests of one measure on one route: one for failures, or one for each quantile of durations.
 #[derive(Clone, Debug, Default)]
 struct Comparison {
     tests: [Test; QUANTILES.len()],
     recent: VecDeque<Duration>,
-    bounds: Option<[Duration; QUANTILES.len()]>,
-    since_bound: usize,
+    slow_bounds: Option<[Duration; QUANTILES.len()]>,
+    since_recompute: usize,
 }
 
 impl Comparison {
-    /// Takes whether an attempt failed.
-    fn take(&mut self, side: Cohort, failed: bool, tolerated: f64) {
-        self.tests[0].take(side, failed, tolerated);
+    /// Adds whether an attempt failed.
+    fn add(&mut self, cohort: Cohort, failed: bool, tolerated: f64) {
+        self.tests[0].add(cohort, failed, tolerated);
     }
 
-    /// Takes a time; it is bad if it lies above the bounds that earlier old times gave.
-    fn take_time(&mut self, side: Cohort, time: Duration, limits: Limits, tolerated: f64) {
-        for (test, bound) in self.tests.iter_mut().zip(self.bounds.iter().flatten()) {
-            test.take(side, time > *bound, tolerated);
+    /// Adds a duration, which counts as bad if it exceeds the bounds from earlier baseline durations.
+    fn add_duration(
+        &mut self,
+        cohort: Cohort,
+        duration: Duration,
+        limits: SlowLimits,
+        tolerated: f64,
+    ) {
+        for (test, bound) in self.tests.iter_mut().zip(self.slow_bounds.iter().flatten()) {
+            test.add(cohort, duration > *bound, tolerated);
         }
-        if side == Cohort::Canary {
+        if cohort == Cohort::Canary {
             return;
         }
-        self.recent.push_back(time);
-        if self.recent.len() > RECENT {
+        self.recent.push_back(duration);
+        if self.recent.len() > RECENT_DURATIONS {
             self.recent.pop_front();
         }
-        self.since_bound += 1;
-        if self.since_bound >= FEWEST {
-            self.since_bound = 0;
-            self.set_bounds(limits);
+        self.since_recompute += 1;
+        if self.since_recompute >= RECOMPUTE_INTERVAL {
+            self.since_recompute = 0;
+            self.recompute_bounds(limits);
         }
     }
 
-    /// Sets the bounds above which a time is slow, from the recent times of the old version.
-    fn set_bounds(&mut self, limits: Limits) {
-        let mut times: Vec<Duration> = self.recent.iter().copied().collect();
-        times.sort_unstable();
-        self.bounds = Some(QUANTILES.map(|quantile| {
-            let usual = times[(times.len() - 1) * quantile / 100];
-            usual.mul_f64(limits.slowness).max(usual + limits.slack)
+    /// Computes the bounds above which a duration is slow from the recent baseline durations.
+    fn recompute_bounds(&mut self, limits: SlowLimits) {
+        let mut durations: Vec<Duration> = self.recent.iter().copied().collect();
+        durations.sort_unstable();
+        self.slow_bounds = Some(QUANTILES.map(|quantile| {
+            let reference = durations[(durations.len() - 1) * quantile / 100];
+            reference
+                .mul_f64(limits.slowness)
+                .max(reference + limits.slack)
         }));
     }
 
-    /// Starts the tests again; the times of the old version stay.
+    /// Restarts the tests and keeps the baseline durations.
     fn restart(&mut self) {
         self.tests.iter_mut().for_each(Test::restart);
     }
 
-    /// Returns how much of what is needed speaks against the new version: 1 is enough.
+    /// Returns the evidence against the canary as a share of what its rejection requires.
     ///
-    /// Without an old version beside it only the first quantile counts: noise that comes up later
-    /// lifts half of all times above what the median was.
-    fn value(&self, threshold: f64, alone: bool) -> f64 {
-        let counted = if alone { 1 } else { self.tests.len() };
+    /// Without a concurrent baseline only the first quantile counts: noise that begins later raises
+    /// half of all durations above the earlier median.
+    fn value(&self, threshold: f64, without_baseline: bool) -> f64 {
+        let counted = if without_baseline {
+            1
+        } else {
+            self.tests.len()
+        };
         let values = self.tests[..counted].iter();
         values
-            .map(|test| test.value(threshold, alone))
+            .map(|test| test.value(threshold, without_baseline))
             .fold(0.0, f64::max)
     }
 }
 
-/// The evidence that one entry has at a stage of a move.
+/// The evidence that one entry has collected at a stage of a move.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     tolerance: Tolerance,
     threshold: f64,
-    alone: bool,
+    without_baseline: bool,
     requests: u64,
     comparisons: BTreeMap<(Arc<str>, Measure), Comparison>,
     routes: Vec<Arc<str>>,
 }
 
 impl Evidence {
-    /// Returns the evidence at the first of `stages` stages.
+    /// Returns empty evidence for the first of `stages` stages.
     #[must_use]
     pub fn new(tolerance: Tolerance, stages: u32) -> Self {
-        let tests = u32::try_from(TESTS).map_or(f64::MAX, f64::from);
+        let tests = u32::try_from(TESTS_PER_STAGE).map_or(f64::MAX, f64::from);
         Self {
             tolerance,
             threshold: tests * f64::from(stages.max(1)) / tolerance.false_alarm,
-            alone: false,
+            without_baseline: false,
             requests: 0,
             comparisons: BTreeMap::new(),
             routes: Vec::new(),
         }
     }
 
-    /// Begins the next stage: the tests start again, what is known of the old version stays.
+    /// Begins the next stage: restarts the tests and keeps the statistics of the baseline.
     ///
-    /// `alone` says that the old version gets no more requests.
-    pub fn begin_stage(&mut self, alone: bool) {
-        self.alone = alone;
+    /// `without_baseline` says that the baseline receives no more requests.
+    pub fn begin_stage(&mut self, without_baseline: bool) {
+        self.without_baseline = without_baseline;
         self.requests = 0;
         for comparison in self.comparisons.values_mut() {
             comparison.restart();
         }
     }
 
-    /// Takes an observation.
+    /// Adds an observation.
     pub fn observe(&mut self, observation: &Observation) {
         if observation.cohort == Cohort::Canary && observation.failed.is_some() {
             self.requests += 1;
         }
-        self.take(&Arc::from(""), observation);
+        self.add(&Arc::from(""), observation);
         if observation.route.is_empty() {
             return;
         }
         let known = self.routes.contains(&observation.route);
-        if !known && self.routes.len() < ROUTES {
+        if !known && self.routes.len() < MAX_ROUTES {
             self.routes.push(Arc::clone(&observation.route));
         }
         if self.routes.contains(&observation.route) {
-            self.take(&Arc::clone(&observation.route), observation);
+            self.add(&Arc::clone(&observation.route), observation);
         }
     }
 
-    /// Takes an observation of the whole or of one route.
-    fn take(&mut self, route: &Arc<str>, observation: &Observation) {
+    /// Adds an observation to the tests of one route, or to the overall tests (empty route).
+    fn add(&mut self, route: &Arc<str>, observation: &Observation) {
         let tolerance = self.tolerance;
-        let slow_share = if self.alone {
-            SLOW_SHARE_ALONE
+        let slow_share = if self.without_baseline {
+            SLOW_SHARE_WITHOUT_BASELINE
         } else {
             SLOW_SHARE
         };
         for measure in Measure::ALL {
             let key = || (Arc::clone(route), measure);
-            match (measure, observation.failed, observation.time(measure)) {
+            match (measure, observation.failed, observation.duration(measure)) {
                 (Measure::Failure, Some(failed), _) => {
                     let comparison = self.comparisons.entry(key()).or_default();
-                    comparison.take(observation.cohort, failed, tolerance.failures);
+                    comparison.add(observation.cohort, failed, tolerance.failures);
                 }
-                (_, _, Some(time)) => {
+                (_, _, Some(duration)) => {
                     let comparison = self.comparisons.entry(key()).or_default();
-                    comparison.take_time(
+                    comparison.add_duration(
                         observation.cohort,
-                        time,
-                        tolerance.of(measure),
+                        duration,
+                        tolerance.limits_of(measure),
                         slow_share,
                     );
                 }
@@ -338,22 +357,23 @@
         }
     }
 
-    /// Returns the number of the new version's answers at this stage.
+    /// Returns the number of requests that the canary has finished at this stage.
     #[must_use]
     pub fn requests(&self) -> u64 {
         self.requests
     }
 
-    /// Returns whether the evidence leans against the new version.
+    /// Returns whether there is some evidence against the canary, if not enough for a rejection.
     #[must_use]
     pub fn suspect(&self) -> bool {
-        self.worst().is_some_and(|(_, _, value)| value >= SUSPECT)
+        self.strongest()
+            .is_some_and(|(_, _, value)| value >= SUSPECT_SHARE)
     }
 
-    /// Returns what speaks against the new version if it is enough.
+    /// Returns the reason for rejecting the canary if the evidence is sufficient.
     #[must_use]
     pub fn rejection(&self) -> Option<String> {
-        let (route, measure, value) = self.worst()?;
+        let (route, measure, value) = self.strongest()?;
         if value < 1.0 {
             return None;
         }
@@ -364,8 +384,8 @@
         })
     }
 
-    /// Returns the test that speaks most against the new version.
-    fn worst(&self) -> Option<(&Arc<str>, Measure, f64)> {
+    /// Returns the test with the most evidence against the canary.
+    fn strongest(&self) -> Option<(&Arc<str>, Measure, f64)> {
         let values = self
             .comparisons
             .iter()
@@ -373,7 +393,7 @@
                 (
                     route,
                     *measure,
-                    comparison.value(self.threshold, self.alone),
+                    comparison.value(self.threshold, self.without_baseline),
                 )
             });
         values.max_by(|left, right| left.2.total_cmp(&right.2))
--- a/coordination/src/evidence/process.rs
+++ b/coordination/src/evidence/process.rs
@@ -1,33 +1,35 @@
-//! Betting processes on whether attempts are bad.
+//! Betting processes (test martingales) on whether attempts are bad: failed, or slower than a bound.
 
 use std::collections::VecDeque;
 
 use super::Cohort;
 
-/// Old attempts that one new attempt is compared with, at most.
-const GROUP: usize = 64;
+/// Maximum number of baseline attempts that one canary attempt is compared with.
+const BASELINE_GROUP: usize = 64;
 
-/// New attempts that are held until an old one comes, at most.
-const GROUP_LIMIT: f64 = 64.0;
+/// Maximum number of canary attempts that are held until the next baseline attempt.
+const CANARY_GROUP: f64 = 64.0;
 
-/// Value of the comparison that is enough beside that of the bound; it guards against faults that
-/// both versions share.
+/// Value that the comparison with the baseline must reach, in addition to the threshold of the
+/// absolute bound. It guards against faults that both versions share.
 const COMPARED_THRESHOLD: f64 = 100.0;
 
-/// Factor on the old version's share of bad attempts that is borne.
-const BORNE: f64 = 1.5;
+/// Factor on the baseline's share of bad attempts that is tolerated.
+const TOLERATED_FACTOR: f64 = 1.5;
 
-/// Shares of bad attempts, of the new and of the old version, that are bet on.
-const PAIRS: [(f64, f64); 3] = [(0.9, 0.02), (0.9, 0.15), (0.4, 0.05)];
+/// Alternatives of the comparison: pairs of the shares of bad attempts of the canary and the
+/// baseline.
+const SHARE_PAIRS: [(f64, f64); 3] = [(0.9, 0.02), (0.9, 0.15), (0.4, 0.05)];
 
-/// How far between the tolerated share of bad attempts and all of them the bets lie.
-const SHARES: [f64; 3] = [0.1, 0.4, 0.9];
+/// Alternatives of the bound: positions between the tolerated share of bad attempts and a share
+/// of 1.
+const SHARE_POSITIONS: [f64; 3] = [0.1, 0.4, 0.9];
 
-/// A mixture of bets over alternatives and over the attempt at which a fault may have begun.
+/// A mixture of bets over the alternatives and over the attempt at which a fault may have begun.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Mixture {
     bets: [f64; 3],
-    kept: f64,
+    reserve: f64,
     steps: f64,
 }
 
@@ -35,18 +37,19 @@
     fn default() -> Self {
         Self {
             bets: [0.0; 3],
-            kept: 1.0,
+            reserve: 1.0,
             steps: 0.0,
         }
     }
 }
 
 impl Mixture {
-    /// Stakes a little on a fault that begins now, then multiplies each bet by its factor.
+    /// Moves a small stake from the reserve to a fault that begins now, then multiplies each bet by
+    /// its factor.
     fn step(&mut self, factors: [f64; 3]) {
         self.steps += 1.0;
         let stake = 1.0 / (self.steps * (self.steps + 1.0));
-        self.kept -= stake;
+        self.reserve -= stake;
         for (bet, factor) in self.bets.iter_mut().zip(factors) {
             *bet = ((*bet + stake / 3.0) * factor).min(f64::MAX / 8.0);
         }
@@ -54,100 +57,103 @@
 
     /// Returns the value of the mixture.
     fn value(&self) -> f64 {
-        self.kept.max(0.0) + self.bets.iter().sum::<f64>()
+        self.reserve.max(0.0) + self.bets.iter().sum::<f64>()
     }
 }
 
-/// Attempts of one version in a block.
+/// Number of attempts of one version in a block.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct Count {
-    all: f64,
+    total: f64,
     bad: f64,
 }
 
 impl Count {
     /// Counts an attempt.
     fn add(&mut self, bad: bool) {
-        self.all += 1.0;
+        self.total += 1.0;
         self.bad += f64::from(u8::from(bad));
     }
 
-    /// Returns the probability of these attempts in this order, where a share of them is bad.
+    /// Returns the probability of this sequence of attempts if `share` of all attempts are bad.
     fn likelihood(self, share: f64) -> f64 {
-        share.powf(self.bad) * (1.0 - share).powf(self.all - self.bad)
+        share.powf(self.bad) * (1.0 - share).powf(self.total - self.bad)
     }
 }
 
-/// Returns by how much a block of attempts is likelier with `pair`'s shares than with a shared one.
+/// Returns the likelihood ratio of a block of attempts: the two shares of `pair` against one share
+/// common to both versions.
 ///
-/// While the new version is no worse, the expectation of this factor is at most 1.
-fn factor(new: Count, old: Count, pair: (f64, f64)) -> f64 {
-    let shared = (new.all * pair.0 + old.all * pair.1) / (new.all + old.all);
-    let apart = new.likelihood(pair.0) * old.likelihood(pair.1);
-    apart / (new.likelihood(shared) * old.likelihood(shared))
+/// While the canary is no worse, the expectation of this factor is at most 1.
+fn likelihood_ratio(canary: Count, baseline: Count, pair: (f64, f64)) -> f64 {
+    let shared =
+        (canary.total * pair.0 + baseline.total * pair.1) / (canary.total + baseline.total);
+    let separate = canary.likelihood(pair.0) * baseline.likelihood(pair.1);
+    separate / (canary.likelihood(shared) * baseline.likelihood(shared))
 }
 
-/// A test of whether new attempts are bad more often than tolerated and than old ones.
+/// A test of whether canary attempts are bad more often than tolerated and than baseline attempts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Test {
     bound: Mixture,
     compared: Mixture,
-    new: Count,
-    old: VecDeque<bool>,
-    old_all: Count,
+    canary: Count,
+    baseline: VecDeque<bool>,
+    baseline_total: Count,
 }
 
 impl Test {
-    /// Starts the bets again.
+    /// Restarts the bets and keeps the counts of the baseline.
     pub(super) fn restart(&mut self) {
         self.bound = Mixture::default();
         self.compared = Mixture::default();
-        self.new = Count::default();
+        self.canary = Count::default();
     }
 
-    /// Takes an attempt; `tolerated` is the share of the new version's bad ones that is borne.
-    pub(super) fn take(&mut self, side: Cohort, bad: bool, tolerated: f64) {
-        match side {
-            Cohort::Baseline => self.old(bad),
-            Cohort::Canary => self.new_version(bad, tolerated),
+    /// Adds an attempt; `tolerated` is the share of bad canary attempts that is tolerated.
+    pub(super) fn add(&mut self, cohort: Cohort, bad: bool, tolerated: f64) {
+        match cohort {
+            Cohort::Baseline => self.add_baseline(bad),
+            Cohort::Canary => self.add_canary(bad, tolerated),
         }
     }
 
-    /// Takes an attempt of the old version.
-    fn old(&mut self, bad: bool) {
-        self.old_all.add(bad);
-        self.old.push_back(bad);
-        if self.old.len() > GROUP {
-            self.old.pop_front();
+    /// Adds an attempt of the baseline.
+    fn add_baseline(&mut self, bad: bool) {
+        self.baseline_total.add(bad);
+        self.baseline.push_back(bad);
+        if self.baseline.len() > BASELINE_GROUP {
+            self.baseline.pop_front();
         }
         self.compare();
     }
 
-    /// Takes an attempt of the new version; `tolerated` is the share of bad ones that is borne.
-    fn new_version(&mut self, bad: bool, tolerated: f64) {
+    /// Adds an attempt of the canary; `tolerated` is the share of bad attempts that is tolerated.
+    fn add_canary(&mut self, bad: bool, tolerated: f64) {
         self.bet_on_bound(bad, tolerated);
-        if self.new.all < GROUP_LIMIT {
-            self.new.add(bad);
+        if self.canary.total < CANARY_GROUP {
+            self.canary.add(bad);
         }
         self.compare();
     }
 
-    /// Returns how much of what is needed speaks against the new version: 1 is enough.
+    /// Returns the evidence against the canary as a share of what its rejection requires.
     ///
-    /// `alone` says that there is no old version to compare with.
-    pub(super) fn value(&self, threshold: f64, alone: bool) -> f64 {
+    /// `without_baseline` says that there is no concurrent baseline to compare with.
+    pub(super) fn value(&self, threshold: f64, without_baseline: bool) -> f64 {
         let bound = self.bound.value() / threshold;
-        if alone {
+        if without_baseline {
             return bound;
         }
         bound.min(self.compared.value() / COMPARED_THRESHOLD)
     }
 
-    /// Bets that bad attempts are more frequent than an absolute bound.
+    /// Bets that bad attempts are more frequent than the absolute bound.
     fn bet_on_bound(&mut self, bad: bool, tolerated: f64) {
-        let old = BORNE * (self.old_all.bad + 1.0) / (self.old_all.all + 2.0);
-        let bound = tolerated.max(old).min(0.95);
-        let factors = SHARES.map(|share| {
+        let baseline_share =
+            TOLERATED_FACTOR * (self.baseline_total.bad + 1.0) / (self.baseline_total.total + 2.0);
+        let bound = tolerated.max(baseline_share).min(0.95);
+        let factors = SHARE_POSITIONS.map(|share| {
             let bet = bound + (1.0 - bound) * share;
             if bad {
                 bet / bound
@@ -158,14 +164,15 @@
         self.bound.step(factors);
     }
 
-    /// Bets, once a block holds attempts of both versions, that the new one is worse.
+    /// Bets that the canary is worse, once a block holds attempts of both versions.
     fn compare(&mut self) {
-        if self.new.all < 1.0 || self.old.is_empty() {
+        if self.canary.total < 1.0 || self.baseline.is_empty() {
             return;
         }
-        let mut old = Count::default();
-        self.old.drain(..).for_each(|bad| old.add(bad));
-        let new = std::mem::take(&mut self.new);
-        self.compared.step(PAIRS.map(|pair| factor(new, old, pair)));
+        let mut baseline = Count::default();
+        self.baseline.drain(..).for_each(|bad| baseline.add(bad));
+        let canary = std::mem::take(&mut self.canary);
+        self.compared
+            .step(SHARE_PAIRS.map(|pair| likelihood_ratio(canary, baseline, pair)));
     }
 }
--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,8 +1,9 @@
 //! Pure coordination state machines.
 //!
-//! Each takes inputs, the present time and, where it draws lots, a seeded generator, and returns
-//! decisions. None owns a socket, a task or a clock, so that a test can drive it through any order
-//! of events. Times are [`std::time::Duration`]s since an arbitrary origin that never goes back.
+//! Each state machine takes inputs, the current time and, where it makes random choices, a seeded
+//! generator, and returns decisions. None owns a socket, a task or a clock, so a test can drive it
+//! through any order of events. Times are [`std::time::Duration`]s since an arbitrary origin and
+//! never decrease.
 
 pub mod balance;
 pub mod canary;
--- a/coordination/src/placement.rs
+++ b/coordination/src/placement.rs
@@ -1,8 +1,9 @@
-//! Which backend server a request is offered to.
+//! Placement: selects the backend server that a request is offered to.
 //!
-//! Servers are grouped by proximity (own failure domain, own region, anywhere); within a group the
-//! choice is that of rendezvous hashing on the prompt's prefix, so that prompts that share a prefix
-//! meet the same cache, and a server above the bounded load goes behind the others of its group.
+//! Servers are grouped by proximity (own failure domain, own region, anywhere). Within a group the
+//! server is selected by rendezvous hashing on the prompt's prefix, so that prompts with a common
+//! prefix reach the same cache. A server whose load exceeds its bound is ranked behind the others of
+//! its group.
 //!
 //! ```
 //! use medlarfall_coordination::placement::{Candidate, Proximity, choose};
@@ -18,15 +19,15 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A server may have this much more in use than its group's average, in percent, before it is put
-/// behind the others. Source: V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent Hashing with
+/// Memory in use, in percent of its group's average, above which a server is ranked behind the
+/// others. Source: V. Mirrokni, M. Thorup, M. Zadimoghaddam, "Consistent Hashing with
 /// Bounded Loads", 2018.
-const BOUND_PERCENT: u64 = 125;
+const LOAD_BOUND_PERCENT: u64 = 125;
 
 /// Words of a prompt that count as its prefix.
 const PREFIX_WORDS: usize = 16;
 
-/// How near a server is.
+/// Proximity of a server to the entry.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Proximity {
     /// In the entry's own failure domain.
@@ -37,18 +38,18 @@
     Anywhere,
 }
 
-/// A server that may take the request.
+/// A server that the request can be offered to.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
     /// Hash of the server's name, from [`name_hash`].
     pub hash: u64,
-    /// How near the server is.
+    /// Proximity of the server to the entry.
     pub proximity: Proximity,
     /// Memory in use as far as this entry knows, in tokens.
     pub used: u64,
-    /// Memory that can be used, in tokens.
+    /// Total usable memory, in tokens.
     pub capacity: u64,
-    /// Whether the request can be sent there now.
+    /// Whether the request can be sent to the server now.
     pub fits: bool,
 }
 
@@ -92,12 +93,12 @@
         .map(|(index, _)| index)
 }
 
-/// Returns whether a candidate has more in use than the bound on its group's average.
+/// Returns whether a candidate's memory in use exceeds the bound set by its group's average.
 fn above_bound(candidate: &Candidate, (used, capacity): (u64, u64)) -> bool {
     let own = candidate.used.saturating_mul(capacity).saturating_mul(100);
     let bound = used
         .saturating_mul(candidate.capacity)
-        .saturating_mul(BOUND_PERCENT);
+        .saturating_mul(LOAD_BOUND_PERCENT);
     own > bound
 }
 
--- a/coordination/src/reader_election.rs
+++ b/coordination/src/reader_election.rs
@@ -1,10 +1,11 @@
-//! Which entries read the store for all of them.
+//! Election of the few entries that read the store on behalf of all entries.
 //!
-//! Each call to the store is paid for and its rates grow more slowly than the fleet, so that a few
-//! entries read and tell the others what changed. Nothing is agreed on: an entry reads unless it
-//! hears of enough others, before it in an order that all know, that read with success. The
-//! fastest links come first: telling a large fleet what changed takes megabytes a second. Where
-//! readers die, are cut off or are turned away by the store, the next ones begin by themselves.
+//! Each call to the store is charged, and its rate limits grow more slowly than the fleet, so a few
+//! entries read it and announce the changes to the others. The election needs no consensus: all
+//! entries use the same ranking, and an entry reads unless enough entries ranked before it announce
+//! that they read successfully. Entries with the fastest links rank first, since announcing changes
+//! to a large fleet takes megabytes a second. When readers die, are cut off or are refused by the
+//! store, the entries ranked next take over.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -13,64 +14,66 @@
 
 use crate::placement::name_hash;
 
-/// Entries that read. Two, so that what one misses, or is late with, the other tells.
+/// Number of readers. With two, changes that one misses or announces late come from the other.
 const READERS: usize = 2;
 
-/// Time after which a silent reader no longer counts. Readers tell at least every
-/// [`READER_TELLS`]; three messages in a row are lost only with their sender or the path. A server
-/// that leaves has to be known everywhere within 2 s.
+/// Time after which a silent reader no longer counts. Readers send a message at least every
+/// [`READER_ANNOUNCE_INTERVAL`]; three messages in a row are lost only if the sender or the path has
+/// failed. The departure of a server must be known to all entries within 2 s.
 const FRESH: Duration = Duration::from_millis(1_250);
 
-/// Longest time between two messages of a reader.
+/// Longest interval between two messages of a reader.
 pub const READER_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time that each further entry waits before it steps in, so that those before it are heard first.
-/// A fleet that stepped in at once would fill the narrow links with what each has to tell.
-const STEP: Duration = Duration::from_millis(30);
+/// Additional waiting time per rank before an entry takes over, so that it first receives the
+/// announcements of the entries before it. If the whole fleet took over at the same time, the
+/// announcements would saturate narrow links.
+const WAIT_PER_RANK: Duration = Duration::from_millis(30);
 
-/// Longest time that an entry waits on top of [`FRESH`].
-const LONGEST_WAIT: Duration = Duration::from_millis(1_500);
+/// Longest waiting time of an entry in addition to [`FRESH`].
+const MAX_WAIT: Duration = Duration::from_millis(1_500);
 
-/// Longest pause after a call that failed; each call is paid for, and an outage lasts seconds.
-const RETRY_PAUSE: Duration = Duration::from_millis(250);
+/// Longest pause after a failed call. Each call is charged, and an outage lasts seconds.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(250);
 
-/// Pause after the first call that failed.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after the first failed call.
+const INITIAL_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Pause after calls that failed while other entries read: what they tell serves this one too.
-const TURNED_AWAY_PAUSE: Duration = Duration::from_secs(2);
+/// Pause after repeated failures while other entries read successfully: their announcements also
+/// serve this entry.
+const REFUSED_PAUSE: Duration = Duration::from_secs(2);
 
-/// Failures in a row from which the store turns this entry away. One or two may be an answer that was
-/// lost, or a watch that fell silent, and the other readers may just have lost theirs as well.
-const TURNED_AWAY: u32 = 3;
+/// Consecutive failures from which the store is considered to refuse this entry. One or two may be
+/// a lost response or a silent watch, and the other readers may just have lost theirs as well.
+const REFUSED_FAILURES: u32 = 3;
 
-/// Returns the longest pause after `failures` calls to the store in a row; `others_read` says whether
-/// other entries read it with success.
+/// Returns the longest pause after `failures` consecutive failed calls to the store. `others_read`
+/// says whether other entries read it successfully.
 #[must_use]
 pub fn retry_pause(failures: u32, others_read: bool) -> Duration {
-    if others_read && failures >= TURNED_AWAY {
-        return TURNED_AWAY_PAUSE;
+    if others_read && failures >= REFUSED_FAILURES {
+        return REFUSED_PAUSE;
     }
-    let doubled = FIRST_PAUSE * 2_u32.pow(failures.saturating_sub(1).min(6));
-    doubled.min(RETRY_PAUSE)
+    let backoff = INITIAL_RETRY_PAUSE * 2_u32.pow(failures.saturating_sub(1).min(6));
+    backoff.min(MAX_RETRY_PAUSE)
 }
 
-/// What this entry knows of the others' reading.
+/// This entry's view of the election.
 #[derive(Clone, Debug)]
 pub struct Election {
     own: Rank,
-    known: HashMap<Arc<str>, Known>,
+    peers: HashMap<Arc<str>, Peer>,
 }
 
-/// Another entry.
+/// The state of another entry.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Peer {
     rank: Rank,
-    /// When it told last that it reads with success.
+    /// When it last announced that it reads successfully.
     read_at: Option<Duration>,
 }
 
-/// An entry's place in the order: the fastest link first, then by a hash of the name.
+/// An entry's rank: the fastest link first, then by a hash of the name.
 type Rank = (Reverse<u32>, u64);
 
 fn rank(name: &str, link_mbps: u32) -> Rank {
@@ -78,52 +81,52 @@
 }
 
 impl Election {
-    /// Returns what an entry knows at its start.
+    /// Returns the view of an entry named `own` that knows no other entries.
     #[must_use]
     pub fn new(own: &str, link_mbps: u32) -> Self {
         Self {
             own: rank(own, link_mbps),
-            known: HashMap::new(),
+            peers: HashMap::new(),
         }
     }
 
-    /// Takes in whether another entry, with a link of `link_mbps`, reads with success.
+    /// Records another entry's announcement of whether it reads successfully, and its link speed.
     pub fn record(&mut self, entry: &Arc<str>, link_mbps: u32, reads: bool, now: Duration) {
-        let known = self.known.entry(Arc::clone(entry)).or_insert(Known {
+        let peer = self.peers.entry(Arc::clone(entry)).or_insert(Peer {
             rank: rank(entry, link_mbps),
             read_at: None,
         });
-        known.rank = rank(entry, link_mbps);
-        match (reads, known.read_at) {
-            (true, _) => known.read_at = Some(now),
-            // It has just stopped: the wait of those behind it begins now.
+        peer.rank = rank(entry, link_mbps);
+        match (reads, peer.read_at) {
+            (true, _) => peer.read_at = Some(now),
+            // It has just stopped reading: the waiting time of the entries behind it begins now.
             (false, Some(at)) if now.saturating_sub(at) <= FRESH => {
-                known.read_at = Some(now.saturating_sub(FRESH));
+                peer.read_at = Some(now.saturating_sub(FRESH));
             }
             (false, _) => {}
         }
     }
 
-    /// Returns whether any other entry reads with success, whatever its place.
+    /// Returns whether any other entry reads successfully, whatever its rank.
     #[must_use]
     pub fn others_read(&self, now: Duration) -> bool {
         self.reading(FRESH, now).next().is_some()
     }
 
-    /// Returns whether this entry has to read.
+    /// Returns whether this entry must read the store.
     #[must_use]
     pub fn must_read(&self, now: Duration) -> bool {
-        let before = self.known.values().filter(|known| known.rank < self.own);
-        let place = u32::try_from(before.count()).unwrap_or(u32::MAX);
-        let wait = STEP.saturating_mul(place).min(LONGEST_WAIT);
+        let before = self.peers.values().filter(|peer| peer.rank < self.own);
+        let position = u32::try_from(before.count()).unwrap_or(u32::MAX);
+        let wait = WAIT_PER_RANK.saturating_mul(position).min(MAX_WAIT);
         let reading = self.reading(FRESH + wait, now);
-        reading.filter(|known| known.rank < self.own).count() < READERS
+        reading.filter(|peer| peer.rank < self.own).count() < READERS
     }
 
-    /// Returns the entries that read within the time `fresh` before now.
-    fn reading(&self, fresh: Duration, now: Duration) -> impl Iterator<Item = &Known> {
+    /// Returns the entries that announced successful reading within `fresh` before `now`.
+    fn reading(&self, fresh: Duration, now: Duration) -> impl Iterator<Item = &Peer> {
         let recent = move |at: Duration| now.saturating_sub(at) <= fresh;
-        let known = self.known.values();
-        known.filter(move |known| known.read_at.is_some_and(recent))
+        let peers = self.peers.values();
+        peers.filter(move |peer| peer.read_at.is_some_and(recent))
     }
 }
--- a/coordination/src/registry.rs
+++ b/coordination/src/registry.rs
@@ -1,40 +1,42 @@
-//! The backend servers that are known, from a list that lags and whose keeper has outages.
+//! This entry's view of the registered backend servers, from a list in the store that lags and is
+//! unavailable during outages of the store.
 //!
-//! A server that announced that it leaves, or whose entry was removed while the keeper was in
-//! order, gets nothing new. An entry that lapsed during an outage says nothing of its server: it
-//! is kept until [`LAPSE_GRACE`] after the keeper's return, by which time a live server is back.
+//! A server that has registered as leaving, or whose registration was removed while the store was
+//! available, gets no new requests. A registration that lapsed during an outage does not mean that
+//! its server has failed: the server is kept until [`LAPSE_GRACE`] after the store has recovered, by
+//! which time a live server has registered again.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the keeper's return in which live servers announce themselves again. Source: the
-/// users' letter on the platform, two seconds.
+/// Time after the recovery of the store within which live servers register again, as the platform
+/// specifies.
 pub const LAPSE_GRACE: Duration = Duration::from_secs(2);
 
-/// A backend server as it announces itself.
+/// The registration of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Server {
     /// Unique name.
     pub id: Arc<str>,
     /// Service that it belongs to.
     pub service: Arc<str>,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
     /// Failure domain that it runs in.
     pub failure_domain: Arc<str>,
     /// Version of its software.
     pub version: Arc<str>,
-    /// Requests that it serves at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is about to leave.
+    /// Whether it is about to stop and accepts no new requests.
     pub leaving: bool,
-    /// When it started, in Unix milliseconds; tells apart two starts under one name.
+    /// Start time in Unix milliseconds; distinguishes two starts under the same name.
     pub started_ms: Option<u64>,
 }
 
-/// What the keeper said last of one server.
+/// The last known registration of one server.
 #[derive(Clone, Debug)]
 struct Record {
     server: Arc<Server>,
@@ -42,68 +44,71 @@
     lapsed: bool,
 }
 
-/// The servers.
+/// The registered servers.
 #[derive(Clone, Debug, Default)]
 pub struct Registry {
     records: HashMap<Arc<str>, Record>,
     removed: HashMap<Arc<str>, u64>,
-    away: bool,
+    store_down: bool,
     trusted_from: Duration,
 }
 
-/// What a change did.
+/// The effect of a change.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Nothing: the change is older than what is known.
+    /// None: the change is older than the known state.
     Stale,
-    /// The server is new, or has started again.
+    /// The server is new, or has restarted.
     Joined,
-    /// Something else about the server changed.
+    /// Another property of the server changed.
     Changed,
     /// The server is leaving.
     Leaving,
     /// The server has gone.
     Gone,
-    /// The entry lapsed during an outage; the server is kept for now.
+    /// The registration lapsed during an outage; the server is kept for now.
     Lapsed,
 }
 
 impl Registry {
-    /// Returns an empty roster.
+    /// Returns an empty registry.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that the keeper does not answer.
+    /// Records that the store does not respond.
     pub fn store_lost(&mut self) {
-        self.away = true;
+        self.store_down = true;
     }
 
-    /// Notes that the keeper answers.
+    /// Records that the store responds.
     pub fn store_responded(&mut self, now: Duration) {
-        if self.away {
-            self.away = false;
+        if self.store_down {
+            self.store_down = false;
             self.trusted_from = now + LAPSE_GRACE;
         }
     }
 
-    /// Takes in what a server announced at a revision of the keeper.
+    /// Applies a server's registration at a revision of the store.
     pub fn register(&mut self, server: Server, revision: u64) -> Effect {
         let known = self.records.get(&server.id);
-        let seen = known.map_or(0, |record| record.revision);
+        let known_revision = known.map_or(0, |record| record.revision);
         let removed = self.removed.get(&server.id).copied().unwrap_or(0);
-        let told = known.is_some_and(|record| !record.lapsed);
-        if revision <= removed || revision < seen || (revision == seen && told) {
+        let current = known.is_some_and(|record| !record.lapsed);
+        if revision <= removed
+            || revision < known_revision
+            || (revision == known_revision && current)
+        {
             return Effect::Stale;
         }
         if self.superseded(&server, revision) {
             return Effect::Stale;
         }
-        let again = known.is_none_or(|record| record.server.started_ms != server.started_ms);
+        let restarted = known.is_none_or(|record| record.server.started_ms != server.started_ms);
         let effect = match server.leaving {
             true => Effect::Leaving,
-            false if again => Effect::Joined,
+            false if restarted => Effect::Joined,
             false => Effect::Changed,
         };
         self.removed.remove(&server.id);
@@ -118,7 +123,7 @@
         effect
     }
 
-    /// Returns whether another server has started at the address of `server` since it started.
+    /// Returns whether a server that started later than `server` is registered at its address.
     fn superseded(&self, server: &Server, revision: u64) -> bool {
         self.records.iter().any(|(id, other)| {
             let later = match (other.server.started_ms, server.started_ms) {
@@ -129,8 +134,8 @@
         })
     }
 
-    /// Takes in a server that was found at the address of one that is known, while the keeper does
-    /// not answer. It is dropped unless it announces itself soon after the keeper's return.
+    /// Adds a server that was discovered at the address of a known one while the store does not
+    /// respond. It is removed unless it registers within the grace period after the store's recovery.
     pub fn adopt(&mut self, server: Server) -> Effect {
         if self.records.contains_key(&server.id) || self.removed.contains_key(&server.id) {
             return Effect::Stale;
@@ -146,15 +151,16 @@
         Effect::Joined
     }
 
-    /// Returns whether the keeper answers.
+    /// Returns whether the store responds.
     #[must_use]
     pub fn store_available(&self) -> bool {
-        !self.away
+        !self.store_down
     }
 
-    /// Takes in that an entry was removed, or holds nothing that names a server.
+    /// Applies the removal of a registration, or its replacement by content that is not a
+    /// registration.
     pub fn remove(&mut self, id: &str, revision: u64, now: Duration) -> Effect {
-        let trusted = !self.away && now >= self.trusted_from;
+        let trusted = !self.store_down && now >= self.trusted_from;
         let Some(record) = self.records.get_mut(id) else {
             let removed = self.removed.entry(Arc::from(id)).or_default();
             *removed = revision.max(*removed);
@@ -172,7 +178,7 @@
         Effect::Gone
     }
 
-    /// Takes in that a complete list read at `revision` named only the servers of `listed`.
+    /// Applies a complete list, read at `revision`, that contains only the servers of `listed`.
     pub fn retain(&mut self, listed: &HashSet<Arc<str>>, revision: u64, now: Duration) {
         let missing: Vec<Arc<str>> = self
             .records
@@ -186,9 +192,10 @@
         self.removed.retain(|_, removed| *removed > revision);
     }
 
-    /// Removes the servers whose lapsed entries did not come back in time, and returns their names.
+    /// Removes the servers that have not registered again within the grace period, and returns their
+    /// names.
     pub fn expire(&mut self, now: Duration) -> Vec<Arc<str>> {
-        if self.away || now < self.trusted_from {
+        if self.store_down || now < self.trusted_from {
             return Vec::new();
         }
         let expired: Vec<Arc<str>> = self
@@ -203,13 +210,13 @@
         expired
     }
 
-    /// Returns a server.
+    /// Returns the registration of a server.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Arc<Server>> {
         self.records.get(id).map(|record| &record.server)
     }
 
-    /// Returns the servers of a service that take new requests.
+    /// Returns the servers of a service that accept new requests.
     pub fn ready(&self, service: &str) -> impl Iterator<Item = &Arc<Server>> {
         self.records
             .values()
@@ -217,12 +224,12 @@
             .filter(move |server| &*server.service == service && !server.leaving)
     }
 
-    /// Returns every server that is known.
+    /// Returns all known servers.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.records.values().map(|record| &record.server)
     }
 
-    /// Returns the number of servers that are known.
+    /// Returns the number of known servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
--- a/coordination/src/retry_budget.rs
+++ b/coordination/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! A retry budget: retries are a bounded share of successes, and back off with jitter.
+//! Retry budgets: retries are limited to a share of successes or requests, with jittered backoff.
 //!
 //! ```
 //! use std::time::Duration;
@@ -28,17 +28,17 @@
 use rand::Rng;
 use serde::{Deserialize, Serialize};
 
-/// Slack for sums of fractions that should make a whole token.
-const ROUNDING: f64 = 1e-9;
+/// Tolerance for rounding errors in sums of fractional tokens.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
 
-/// How much may be retried.
+/// Limits of a [`Budget`].
 #[derive(Clone, Copy, Debug)]
 pub struct Policy {
     /// Retries allowed for each success.
     pub share: f64,
     /// Retries allowed before the first success.
     pub reserve: f64,
-    /// Most retries that can be saved up.
+    /// Maximum number of retries that can accumulate.
     pub ceiling: f64,
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// The budget of one service.
+/// The retry budget of one service, as a token bucket that successes fill.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     policy: Policy,
@@ -60,7 +60,7 @@
 }
 
 impl Budget {
-    /// Returns a budget that holds its reserve.
+    /// Returns a budget that contains its reserve.
     #[must_use]
     pub fn new(policy: Policy) -> Self {
         Self {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Counts a success.
+    /// Adds the tokens of one success.
     pub fn record_success(&mut self) {
         self.tokens = (self.tokens + self.policy.share).min(self.policy.ceiling);
     }
 
     /// Takes a token for one retry and returns whether there was one.
     pub fn withdraw(&mut self) -> bool {
-        if self.tokens + ROUNDING < 1.0 {
+        if self.tokens + ROUNDING_TOLERANCE < 1.0 {
             return false;
         }
         self.tokens = (self.tokens - 1.0).max(0.0);
@@ -84,60 +84,61 @@
     }
 }
 
-/// How much of a service's load may be repeats, over any span of time.
+/// Limits on the retries of a service over any window of time.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Repeats for each request of the span.
+    /// Retries allowed for each request in the window.
     pub share: f64,
-    /// Repeats of the span on top of that, over all entries.
+    /// Further retries allowed in the window, over all entries.
     pub reserve: f64,
-    /// Length of the span.
+    /// Length of the window.
     pub span: Duration,
 }
 
-/// Parts of a span that are counted by themselves: what is forgotten too late is a tenth at most.
-const PARTS: u32 = 10;
+/// Number of slots that a window is divided into. Counts expire up to one slot early.
+const SLOTS: u32 = 10;
 
-/// Part of what all entries may repeat up to which an entry also takes what the others leave. The
-/// rest is for entries that need their own part.
-const LENT: f64 = 0.75;
+/// Share of the fleet's limit up to which an entry may also use what the other entries leave unused.
+/// The rest is kept for entries that need their own share.
+const SHARED_LIMIT: f64 = 0.75;
 
-/// Time after which what a silent peer told no longer counts; peers tell every two seconds at least.
+/// Time after which the report of a silent peer no longer counts. Peers report at least every 2 s.
 const FRESH: Duration = Duration::from_millis(4_500);
 
-/// Requests and repeats of one entry, or of several, over a span.
+/// Requests and retries of one or several entries within a window.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Usage {
-    /// Requests of callers.
+    /// Requests from callers.
     pub requests: u32,
-    /// Repeats.
-    pub repeats: u32,
+    /// Retries.
+    #[serde(rename = "repeats")]
+    pub retries: u32,
 }
 
 impl Usage {
     fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests.saturating_add(other.requests),
-            repeats: self.repeats.saturating_add(other.repeats),
+            retries: self.retries.saturating_add(other.retries),
         }
     }
 }
 
-/// What the other entries used, as they told.
+/// The usage that the other entries reported.
 #[derive(Clone, Debug, Default)]
 pub struct Others {
-    told: HashMap<Arc<str>, (Duration, Usage)>,
+    reports: HashMap<Arc<str>, (Duration, Usage)>,
 }
 
 impl Others {
-    /// Replaces what `peer` told before.
+    /// Replaces the last report of `peer`.
     pub fn record(&mut self, peer: &Arc<str>, usage: Usage, now: Duration) {
-        self.told.insert(Arc::clone(peer), (now, usage));
+        self.reports.insert(Arc::clone(peer), (now, usage));
     }
 
-    /// Returns how many entries told lately, and what they used together.
+    /// Returns the number of entries with a recent report, and their total usage.
     fn total(&self, now: Duration) -> (u32, Usage) {
-        let fresh = self.told.values();
+        let fresh = self.reports.values();
         let fresh = fresh.filter(|(at, _)| now.saturating_sub(*at) < FRESH);
         fresh.fold((0, Usage::default()), |(entries, total), (_, usage)| {
             (entries + 1, total.plus(*usage))
@@ -145,24 +146,24 @@
     }
 }
 
-/// Requests and repeats of one part of the span.
+/// Requests and retries within one slot of the window.
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    began: Duration,
+struct Slot {
+    start: Duration,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
-/// Repeats of one entry for one service, bounded by its requests of the same span.
+/// The retries of one entry for one service, limited by the requests in the same sliding window.
 ///
-/// The load that this answers: a failure domain's servers crash together, and all streams on them
-/// are repeated within half a second. An entry of a large fleet has a request every other second,
-/// so that a budget of its own is empty when it is needed, while hardly any of what the fleet may
-/// repeat is used. Entries tell one another what they used, and take what the others leave.
+/// When a failure domain's servers crash together, all their streams are retried within half a
+/// second. An entry of a large fleet receives a request only every other second, so a separate
+/// budget would be exhausted when it is needed, while most of the fleet's limit remained unused.
+/// The entries therefore report their usage to one another, and each may use what the others leave.
 #[derive(Clone, Debug)]
 pub struct Window {
     bounds: Bounds,
-    parts: VecDeque<Part>,
+    slots: VecDeque<Slot>,
 }
 
 impl Window {
@@ -171,72 +172,81 @@
     pub fn new(bounds: Bounds) -> Self {
         Self {
             bounds,
-            parts: VecDeque::new(),
+            slots: VecDeque::new(),
         }
     }
 
     /// Counts a request.
     pub fn request(&mut self, now: Duration) {
-        self.part(now).requests += 1;
+        self.slot(now).requests += 1;
     }
 
-    /// Returns what this entry used over the span.
+    /// Returns this entry's usage within the window.
     pub fn usage(&mut self, now: Duration) -> Usage {
-        self.forget(now);
-        let parts = self.parts.iter().map(|part| Usage {
-            requests: part.requests,
-            repeats: part.repeats,
+        self.remove_expired(now);
+        let slots = self.slots.iter().map(|slot| Usage {
+            requests: slot.requests,
+            retries: slot.retries,
         });
-        parts.fold(Usage::default(), Usage::plus)
+        slots.fold(Usage::default(), Usage::plus)
     }
 
-    /// Takes a repeat and returns whether there was one. `part` is this entry's part of the reserve,
-    /// and `entries` the number of others that are known.
-    pub fn withdraw(&mut self, part: f64, others: &Others, entries: u32, now: Duration) -> bool {
+    /// Counts a retry if the limits allow it, and returns whether they do. `reserve_share` is this
+    /// entry's share of the reserve, and `entries` the number of other entries known.
+    pub fn withdraw(
+        &mut self,
+        reserve_share: f64,
+        others: &Others,
+        entries: u32,
+        now: Duration,
+    ) -> bool {
         let own = self.usage(now);
-        let (heard, used) = others.total(now);
-        let all = own.plus(used);
+        let (reporting, used) = others.total(now);
+        let total = own.plus(used);
         let share = |usage: Usage| f64::from(usage.requests) * self.bounds.share;
-        let fits = |repeats: u32, most: f64| f64::from(repeats) + 1.0 <= most + ROUNDING;
-        let most_of_all = share(all) + self.bounds.reserve;
-        let own_part = fits(own.repeats, share(own) + part);
-        // What the others leave is known only if most of them told.
-        let lent = entries > 0 && heard * 2 >= entries && fits(all.repeats, most_of_all * LENT);
-        let taken = fits(all.repeats, most_of_all) && (own_part || lent);
-        if taken {
-            self.part(now).repeats += 1;
+        let within =
+            |retries: u32, limit: f64| f64::from(retries) + 1.0 <= limit + ROUNDING_TOLERANCE;
+        let fleet_limit = share(total) + self.bounds.reserve;
+        let within_own_share = within(own.retries, share(own) + reserve_share);
+        // The unused rest is known only if at least half of the other entries reported.
+        let within_unused = entries > 0
+            && reporting * 2 >= entries
+            && within(total.retries, fleet_limit * SHARED_LIMIT);
+        let allowed = within(total.retries, fleet_limit) && (within_own_share || within_unused);
+        if allowed {
+            self.slot(now).retries += 1;
         }
-        taken
+        allowed
     }
 
-    /// Forgets the parts before the span.
-    fn forget(&mut self, now: Duration) {
-        let span = self.bounds.span;
-        while let Some(part) = self.parts.front()
-            && now.saturating_sub(part.began) >= span
+    /// Removes the slots before the window.
+    fn remove_expired(&mut self, now: Duration) {
+        let window = self.bounds.span;
+        while let Some(slot) = self.slots.front()
+            && now.saturating_sub(slot.start) >= window
         {
-            self.parts.pop_front();
+            self.slots.pop_front();
         }
     }
 
-    /// Returns the part that holds now.
-    fn part(&mut self, now: Duration) -> &mut Part {
-        self.forget(now);
-        let length = self.bounds.span / PARTS;
-        let open = self.parts.back();
-        if open.is_none_or(|part| now.saturating_sub(part.began) >= length) {
-            self.parts.push_back(Part {
-                began: now,
+    /// Returns the slot that contains `now`.
+    fn slot(&mut self, now: Duration) -> &mut Slot {
+        self.remove_expired(now);
+        let length = self.bounds.span / SLOTS;
+        let last = self.slots.back();
+        if last.is_none_or(|slot| now.saturating_sub(slot.start) >= length) {
+            self.slots.push_back(Slot {
+                start: now,
                 requests: 0,
-                repeats: 0,
+                retries: 0,
             });
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.slots.len() - 1;
+        &mut self.slots[last]
     }
 }
 
-/// Pauses between attempts.
+/// Exponential backoff between attempts, with full jitter.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     /// Longest pause before the first retry.
@@ -246,14 +256,14 @@
 }
 
 impl Backoff {
-    /// Returns a random pause before retry number `retry` (from 1), or nothing if it would take
-    /// all that `remains` of the deadline.
-    pub fn pause(&self, retry: u32, remains: Duration, rng: &mut impl Rng) -> Option<Duration> {
+    /// Returns a random pause before retry number `retry` (from 1), or `None` if the pause would use
+    /// up the time `remaining` until the deadline.
+    pub fn pause(&self, retry: u32, remaining: Duration, rng: &mut impl Rng) -> Option<Duration> {
         let factor = 1_u32
             .checked_shl(retry.saturating_sub(1))
             .unwrap_or(u32::MAX);
-        let longest = self.base.saturating_mul(factor).min(self.ceiling);
-        let pause = longest.mul_f64(rng.random_range(0.0..=1.0));
-        (pause < remains).then_some(pause)
+        let ceiling = self.base.saturating_mul(factor).min(self.ceiling);
+        let pause = ceiling.mul_f64(rng.random_range(0.0..=1.0));
+        (pause < remaining).then_some(pause)
     }
 }
--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -1,7 +1,7 @@
-//! The state of a move from one version to another, as a lattice that peers merge by join.
+//! The state of a move from one version to another, as a join-semilattice that peers merge.
 //!
-//! The stage grows, a brake absorbs stages, and the recorded end absorbs both. A record of a later
-//! move replaces the record of an earlier one.
+//! A later stage replaces an earlier one, a brake absorbs all stages, and a recorded end absorbs
+//! both. The record of a later move replaces that of an earlier one.
 //!
 //! ```
 //! use std::time::Duration;
@@ -23,38 +23,38 @@
 
 use crate::schedule::Plan;
 
-/// The whole of a service's requests, in thousandths.
+/// All of a service's requests, in thousandths.
 pub const FULL_SHARE: u64 = 1_000;
 
-/// How far a move has come.
+/// The phase of a move.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// The share of this index of the plan goes to the new version.
+    /// The new version gets the share with this index in the plan.
     Stage(usize),
-    /// An entry has evidence against the new version, which gets no more requests; the end is not
-    /// yet recorded.
+    /// An entry has evidence against the new version, which gets no more requests. The end is not
+    /// yet recorded in the store.
     Braked {
         /// The evidence.
         reason: Arc<str>,
     },
-    /// Recorded: the new version serves.
+    /// Recorded end: the new version stays in use.
     Done,
-    /// Recorded: the old version serves.
+    /// Recorded end: the old version stays in use.
     TakenBack {
-        /// Why.
+        /// Reason for taking the move back.
         reason: Arc<str>,
     },
 }
 
 impl Phase {
-    /// Returns whether this is a recorded end.
+    /// Returns whether the end of the move is recorded.
     #[must_use]
     pub fn ended(&self) -> bool {
         matches!(self, Self::Done | Self::TakenBack { .. })
     }
 
-    /// Returns the order of phases; a later one absorbs an earlier one.
+    /// Returns the sort key of the phase; a higher phase absorbs a lower one.
     fn rank(&self) -> (u8, usize, &str) {
         match self {
             Self::Stage(index) => (0, *index, ""),
@@ -80,7 +80,7 @@
 /// A move of a service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Number of the move of this service; it grows with each move.
+    /// Number of the move of this service; it increases with each move.
     pub number: u64,
     /// Identifier that the operator gave.
     pub id: Arc<str>,
@@ -88,13 +88,13 @@
     pub service: Arc<str>,
     /// Version in force before the move.
     pub from: Arc<str>,
-    /// Version that is moved to.
+    /// Version that the move leads to.
     pub to: Arc<str>,
-    /// Stages and their bounds.
+    /// Stages and their limits.
     pub plan: Plan,
     /// Time by which the move must have ended, in milliseconds of Unix time.
     pub deadline_ms: u64,
-    /// How far the move has come.
+    /// Phase of the move.
     pub phase: Phase,
 }
 
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Merges two records of a service: the later move, and of one move the later phase.
+    /// Merges two records of a service: keeps the later move, or the later phase of the same move.
     #[must_use]
     pub fn join(self, other: Self) -> Self {
         let ours = (self.number, &self.id, &self.phase);
@@ -129,7 +129,7 @@
         if ours >= theirs { self } else { other }
     }
 
-    /// Returns the record with a brake, unless its end is recorded or a brake absorbs this one.
+    /// Returns the record with a brake, unless a recorded end or another brake absorbs it.
     #[must_use]
     pub fn brake(self, reason: &str) -> Self {
         let braked = Self {
@@ -141,7 +141,7 @@
         self.join(braked)
     }
 
-    /// Returns the record one stage on; after the last stage it is done. A brake or an end stays.
+    /// Returns the record at the next stage, or done after the last one. A brake or an end stays.
     #[must_use]
     pub fn advance(self) -> Self {
         let phase = match self.phase {
@@ -152,7 +152,7 @@
         Self { phase, ..self }
     }
 
-    /// Returns the record as it may be stored: a brake becomes the recorded end.
+    /// Returns the record in the form that is stored: a brake becomes the recorded end.
     #[must_use]
     pub fn recorded(self) -> Self {
         let phase = match self.phase {
@@ -162,18 +162,18 @@
         Self { phase, ..self }
     }
 
-    /// Returns what is to be stored where `stored` stands, or nothing if `stored` stays.
+    /// Returns the record that is to replace `stored`, or `None` if `stored` stays.
     ///
-    /// An end that is stored is never changed, nor is the record of another move.
+    /// A stored end is never changed, nor is the record of another move.
     #[must_use]
     pub fn replacement_for(self, stored: &Self) -> Option<Self> {
-        let same = self.number == stored.number && self.id == stored.id;
+        let same_move = self.number == stored.number && self.id == stored.id;
         let later = self.phase > stored.phase;
-        let open = same && later && !stored.phase.ended();
-        open.then(|| self.recorded())
+        let replaces = same_move && later && !stored.phase.ended();
+        replaces.then(|| self.recorded())
     }
 
-    /// Returns the share of requests that goes to the new version, in thousandths.
+    /// Returns the share of requests that the new version gets, in thousandths.
     #[must_use]
     pub fn share(&self) -> u64 {
         match &self.phase {
@@ -183,15 +183,15 @@
         }
     }
 
-    /// Returns the version that a request goes to.
+    /// Returns the version that a request is sent to.
     ///
-    /// The choice depends on nothing but the move and the request's identifier, so that the share
-    /// over all entries is that of the stage, and a request that goes to the new version at one
-    /// stage does so at every later stage.
+    /// The choice depends only on the move and the request's identifier. The share over all entries
+    /// is therefore that of the stage, and a request that is sent to the new version at one stage is
+    /// sent there at every later stage.
     #[must_use]
     pub fn version(&self, request_id: &str) -> &Arc<str> {
-        let lot = xxh3_64_with_seed(request_id.as_bytes(), self.number) % FULL_SHARE;
-        if lot < self.share() {
+        let bucket = xxh3_64_with_seed(request_id.as_bytes(), self.number) % FULL_SHARE;
+        if bucket < self.share() {
             &self.to
         } else {
             &self.from
--- a/coordination/src/routing.rs
+++ b/coordination/src/routing.rs
@@ -1,29 +1,29 @@
-//! Which service a request goes to: routes by host and longest path prefix, weighted targets, and
-//! the client accounts that may use them.
+//! Routing of requests to services: by host and longest path prefix, with weighted targets and the
+//! client accounts that may use the routes.
 //!
-//! A [`Table`] is one version of the operators' configuration, checked and never changed; a newer
-//! version replaces it as a whole, so that a request sees one version from start to end.
+//! A [`Table`] is one validated, immutable version of the operators' configuration. A newer version
+//! replaces it as a whole, so a request uses the same version from start to end.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What may be repeated of a route's requests.
+/// How a route's requests may be retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Kind {
-    /// May run more than once.
+    /// A request that may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// A request that runs at most once.
     NonIdempotent,
     /// A stream of events that runs at most once.
     Stream,
-    /// A stream of events that another server may go on with after the last event delivered.
+    /// A stream of events that another server may resume after the last delivered event.
     ResumableStream,
 }
 
 impl Kind {
-    /// Returns whether the answer is a stream of events.
+    /// Returns whether the response is a stream of events.
     #[must_use]
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream | Self::ResumableStream)
@@ -31,12 +31,12 @@
 
     /// Returns whether a request that may have run may be sent to another server.
     #[must_use]
-    pub fn repeats(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 }
 
-/// A service and its part of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Target {
     /// The service.
@@ -50,78 +50,78 @@
 pub struct Route {
     /// Name, for logs and metrics.
     pub name: Arc<str>,
-    /// Host that callers name.
+    /// Host of the requests.
     pub host: Arc<str>,
-    /// Prefix of the path.
+    /// Prefix of the requests' paths.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// How the requests may be retried.
     pub kind: Kind,
-    /// Longest time that a request may be kept waiting for its answer.
+    /// Longest time that a request may wait for its response.
     pub timeout: Duration,
-    /// Time within which an answer (of a stream: its first event) is on time.
+    /// Time within which a response, or the first event of a stream, is on time.
     pub target_latency: Duration,
-    /// Longest pause between events with which a stream is on time.
+    /// Longest pause between events for which a stream is on time.
     pub longest_pause: Option<Duration>,
-    /// Most servers that one request may be sent to.
+    /// Maximum number of servers that one request may be sent to.
     pub attempts: u32,
     /// Urgency; 0 is the most urgent.
     pub priority: u8,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub anonymous: bool,
-    /// Services that take the requests.
+    /// Services that the requests are sent to.
     pub targets: Vec<Target>,
 }
 
 impl Route {
-    /// Returns the service that takes a request with the lot `lot`.
+    /// Returns the service for the request with the hash `request_hash`, if any has a weight.
     #[must_use]
-    pub fn target(&self, lot: u64) -> Option<&Arc<str>> {
+    pub fn target(&self, request_hash: u64) -> Option<&Arc<str>> {
         let total: u64 = self.targets.iter().map(|t| u64::from(t.weight)).sum();
-        let mut rest = lot.checked_rem(total)?;
+        let mut remaining = request_hash.checked_rem(total)?;
         for target in &self.targets {
             let weight = u64::from(target.weight);
-            if rest < weight {
+            if remaining < weight {
                 return Some(&target.service);
             }
-            rest -= weight;
+            remaining -= weight;
         }
         None
     }
 }
 
-/// What the operators say of a service.
+/// The configuration of a service.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Service {
-    /// Whether its servers keep a backup copy of a run's memory on another server.
+    /// Whether its servers keep a backup of a run's memory on another server.
     pub backups: bool,
     /// Memory of one of its engines, in tokens; 0 for plain services.
     pub memory_tokens: u64,
-    /// Models that its engines hold.
+    /// Models that its engines serve.
     pub models: Vec<Arc<str>>,
 }
 
 /// A client account.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Account {
-    /// Name that servers are told.
+    /// Name that is sent to the servers.
     pub name: Arc<str>,
-    /// Urgency that goes before the route's; 0 is the most urgent.
+    /// Urgency that overrides the route's; 0 is the most urgent.
     pub priority: Option<u8>,
 }
 
-/// What a caller may send and how long it may take.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
     /// Largest request head, in bytes.
     pub header_bytes: usize,
     /// Largest body, in bytes.
     pub body_bytes: usize,
-    /// Longest time that a connection may be idle.
+    /// Longest time for which a connection may be idle.
     pub idle_time: Duration,
 }
 
 impl Default for Limits {
-    /// Holds until the operators' limits are known.
+    /// The limits that apply until the operators' limits are known.
     fn default() -> Self {
         Self {
             header_bytes: 16 << 10,
@@ -136,16 +136,16 @@
 pub struct Table {
     /// Version; a later configuration has a higher one.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: Limits,
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
     services: HashMap<Arc<str>, Service>,
     accounts: HashMap<Arc<str>, Arc<Account>>,
-    closed: bool,
+    keys_required: bool,
 }
 
 impl Table {
-    /// Returns a table. `accounts` maps keys to accounts; without it every request is anonymous.
+    /// Returns a table. `accounts` maps keys to accounts; without it no request needs a key.
     #[must_use]
     pub fn new(
         version: u64,
@@ -167,22 +167,22 @@
             limits,
             routes: by_host,
             services,
-            closed: accounts.is_some(),
+            keys_required: accounts.is_some(),
             accounts: accounts.unwrap_or_default(),
         }
     }
 
-    /// Returns the route with the longest prefix of `path` among those of `host`.
+    /// Returns the route of `host` with the longest prefix that matches `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let routes = self.routes.get(host)?;
         routes.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// Returns whether requests of `route` need the key of an account.
+    /// Returns whether requests on `route` need the key of an account.
     #[must_use]
     pub fn needs_key(&self, route: &Route) -> bool {
-        self.closed && !route.anonymous
+        self.keys_required && !route.anonymous
     }
 
     /// Returns the account that holds `key`.
@@ -191,22 +191,22 @@
         self.accounts.get(key)
     }
 
-    /// Returns what is said of a service.
+    /// Returns the configuration of a service.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 
-    /// Returns the only service whose engines hold one of `models`.
+    /// Returns the service whose engines serve one of `models`, if exactly one service does.
     #[must_use]
     pub fn service_of(&self, models: &[Arc<str>]) -> Option<&Arc<str>> {
-        let holds = |service: &Service| service.models.iter().any(|model| models.contains(model));
-        let mut holding = self.services.iter().filter(|(_, service)| holds(service));
-        let (name, _) = holding.next()?;
-        holding.next().is_none().then_some(name)
+        let serves = |service: &Service| service.models.iter().any(|model| models.contains(model));
+        let mut matching = self.services.iter().filter(|(_, service)| serves(service));
+        let (name, _) = matching.next()?;
+        matching.next().is_none().then_some(name)
     }
 
-    /// Returns the services.
+    /// Returns the names of the services.
     pub fn services(&self) -> impl Iterator<Item = &Arc<str>> {
         self.services.keys()
     }
--- a/coordination/src/shared_load.rs
+++ b/coordination/src/shared_load.rs
@@ -1,83 +1,89 @@
-//! What the other entries have at each server, as they tell one another.
+//! The streams of the other entries at each server, from the entries' reports to one another.
 //!
-//! The load that this answers: a prompt takes a second to read, several entries place streams on
-//! the same servers, and a server's own report is older than that. Entries that count only their
-//! own streams put three prompts on one server while others are free. What a peer tells replaces
-//! all that it told before, so a lost message does no lasting harm; what it told last is forgotten
-//! when it falls silent.
+//! The prefill of a prompt takes a second, several entries place streams on the same servers, and
+//! the servers' own load reports are older than that. Entries that counted only their own streams
+//! would place three prompts on one server while others are idle. A peer's report replaces its
+//! previous one, so a lost message has no lasting effect, and the last report of a silent peer
+//! expires.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which what a silent peer told is forgotten; peers tell every two seconds at least.
+/// Time after which the report of a silent peer expires. Peers report at least every 2 s.
 pub const FRESH: Duration = Duration::from_millis(4_500);
 
-/// Streams at one server.
+/// Number of streams at one server.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Count {
-    /// Streams, those that wait for their first event included.
+    /// All streams, including those in prefill.
     pub streams: u32,
-    /// Streams that wait for their first event: their prompts are read.
+    /// Streams in prefill, which wait for their first event.
     pub prefilling: u32,
 }
 
-/// What one peer told.
+/// The last report of one peer.
 #[derive(Clone, Debug, Default)]
-struct Told {
-    at: Duration,
+struct Report {
+    received_at: Duration,
     counts: HashMap<Arc<str>, Count>,
 }
 
-/// What all peers told.
+/// The reports of all peers, and their totals for each server.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    peers: HashMap<Arc<str>, Told>,
+    peers: HashMap<Arc<str>, Report>,
     totals: HashMap<Arc<str>, Count>,
 }
 
 impl Table {
-    /// Replaces what `peer` told before.
+    /// Replaces the last report of `peer`.
     pub fn record(&mut self, peer: Arc<str>, counts: HashMap<Arc<str>, Count>, now: Duration) {
-        self.forget(&peer);
+        self.remove(&peer);
         for (server, count) in &counts {
             let total = self.totals.entry(Arc::clone(server)).or_default();
             total.streams += count.streams;
             total.prefilling += count.prefilling;
         }
-        self.peers.insert(peer, Told { at: now, counts });
+        self.peers.insert(
+            peer,
+            Report {
+                received_at: now,
+                counts,
+            },
+        );
     }
 
-    /// Forgets what silent peers told.
+    /// Removes the reports of silent peers.
     pub fn expire(&mut self, now: Duration) {
         let silent: Vec<Arc<str>> = self
             .peers
             .iter()
-            .filter(|(_, told)| now.saturating_sub(told.at) > FRESH)
+            .filter(|(_, report)| now.saturating_sub(report.received_at) > FRESH)
             .map(|(peer, _)| Arc::clone(peer))
             .collect();
         for peer in &silent {
-            self.forget(peer);
+            self.remove(peer);
         }
     }
 
-    /// Returns what the peers have at a server.
+    /// Returns the number of the peers' streams at a server.
     #[must_use]
     pub fn at(&self, server: &str) -> Count {
         self.totals.get(server).copied().unwrap_or_default()
     }
 
-    /// Returns the number of peers that told something lately.
+    /// Returns the number of peers with a current report.
     #[must_use]
     pub fn peers(&self) -> usize {
         self.peers.len()
     }
 
-    fn forget(&mut self, peer: &str) {
-        let Some(told) = self.peers.remove(peer) else {
+    fn remove(&mut self, peer: &str) {
+        let Some(report) = self.peers.remove(peer) else {
             return;
         };
-        for (server, count) in told.counts {
+        for (server, count) in report.counts {
             let Some(total) = self.totals.get_mut(&server) else {
                 continue;
             };
--- a/coordination/src/updates.rs
+++ b/coordination/src/updates.rs
@@ -1,112 +1,115 @@
-//! What an entry tells the others, when, and how much of a link that takes.
+//! A buffer of recent updates that an entry sends to its peers, and the pacing of its messages.
 //!
-//! The load that answers: after a failure domain's servers crash, each entry of a large fleet has
-//! dozens of losses and finds to tell, and its streams change many times a second. Telling all of it
-//! with each change fills links of 10 Mbit/s, and requests time out on them. So what is new is told
-//! at once, the rest now and then, and messages to many others are spaced by what their links carry.
+//! After the servers of a failure domain crash, each entry of a large fleet has dozens of lost and
+//! rediscovered servers to announce, and its streams change many times a second. Sending everything
+//! with each change saturates links of 10 Mbit/s, and requests time out on them. New updates are
+//! therefore sent immediately and the others periodically, and messages to many peers are paced by
+//! the capacity of their links.
 
 use std::time::Duration;
 
-/// Time for which something new is told with every message that tells it again.
+/// Time for which an update is new and is included in repeated messages.
 pub const FRESH: Duration = Duration::from_millis(1_500);
 
-/// Time between two messages that tell the same: half of the time for which a loss that is told
-/// puts a server behind the others.
-const AGAIN: Duration = Duration::from_millis(250);
+/// Time between two messages with the same updates: half of the time for which an announced loss
+/// ranks a server behind the others.
+const RESEND_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Part of a link that messages between entries may take: callers' requests need the rest.
+/// Share of a link that messages between entries may use; callers' requests need the rest.
 const LINK_SHARE: f64 = 0.1;
 
-/// Longest pause between two messages: others place streams by what they tell.
-const LONGEST_PAUSE: Duration = Duration::from_millis(100);
+/// Longest pause between two messages, since peers place streams by their content.
+const MAX_PAUSE: Duration = Duration::from_millis(100);
 
-/// Bytes of a datagram's headers.
-const HEADERS: usize = 28;
+/// Size of a datagram's headers, in bytes.
+const HEADER_BYTES: usize = 28;
 
-/// Things to tell, each with the time from which it is new.
+/// Updates to send, each with the time at which it was last added by this entry.
 #[derive(Clone, Debug)]
 pub struct Updates<T> {
     items: Vec<(T, Duration)>,
-    told_at: Duration,
-    untold: bool,
+    sent_at: Duration,
+    unsent: bool,
 }
 
 impl<T> Default for Updates<T> {
     fn default() -> Self {
         Self {
             items: Vec::new(),
-            told_at: Duration::ZERO,
-            untold: false,
+            sent_at: Duration::ZERO,
+            unsent: false,
         }
     }
 }
 
 impl<T: Clone + PartialEq> Updates<T> {
-    /// Adds what this entry itself has found out.
-    pub fn insert(&mut self, item: T, now: Duration) {
-        match self.items.iter_mut().find(|(known, _)| *known == item) {
-            Some((_, at)) if now.saturating_sub(*at) < FRESH => *at = now,
-            Some((_, at)) => {
-                *at = now;
-                self.untold = true;
+    /// Adds an update that this entry has made itself.
+    pub fn insert(&mut self, update: T, now: Duration) {
+        match self.items.iter_mut().find(|(known, _)| *known == update) {
+            Some((_, added_at)) if now.saturating_sub(*added_at) < FRESH => *added_at = now,
+            Some((_, added_at)) => {
+                *added_at = now;
+                self.unsent = true;
             }
             None => {
-                self.items.push((item, now));
-                self.untold = true;
+                self.items.push((update, now));
+                self.unsent = true;
             }
         }
     }
 
-    /// Adds what another entry told: it is passed on only where all is told.
-    pub fn insert_received(&mut self, item: T) {
-        if self.items.iter().all(|(known, _)| *known != item) {
-            self.items.push((item, Duration::ZERO));
+    /// Adds an update received from another entry, which is forwarded only in messages to all
+    /// entries.
+    pub fn insert_received(&mut self, update: T) {
+        if self.items.iter().all(|(known, _)| *known != update) {
+            self.items.push((update, Duration::ZERO));
         }
     }
 
-    /// Forgets all.
+    /// Removes all updates.
     pub fn clear(&mut self) {
         self.items.clear();
-        self.untold = false;
+        self.unsent = false;
     }
 
-    /// Forgets what is no longer new.
+    /// Removes the updates that are no longer new.
     pub fn remove_expired(&mut self, now: Duration) {
-        self.items.retain(|(_, at)| is_fresh(*at, now));
+        self.items.retain(|(_, added_at)| is_fresh(*added_at, now));
     }
 
-    /// Returns whether something has not been told yet.
+    /// Returns whether an update has not been sent yet.
     #[must_use]
     pub fn has_unsent(&self) -> bool {
-        self.untold
+        self.unsent
     }
 
-    /// Returns what the next message tells: all of it to `everyone` now and then, else what is new.
+    /// Returns the updates for the next message: all of them if it goes to `everyone`, otherwise the
+    /// new ones if any is unsent or due again.
     pub fn next_batch(&mut self, everyone: bool, now: Duration) -> Vec<T> {
-        let due = everyone || self.untold || now.saturating_sub(self.told_at) >= AGAIN;
+        let due = everyone || self.unsent || now.saturating_sub(self.sent_at) >= RESEND_INTERVAL;
         if !due {
             return Vec::new();
         }
-        self.told_at = now;
-        self.untold = false;
-        let told = self.items.iter();
-        let told = told.filter(|(_, at)| everyone || is_fresh(*at, now));
-        told.map(|(item, _)| item.clone()).collect()
+        self.sent_at = now;
+        self.unsent = false;
+        let batch = self.items.iter();
+        let batch = batch.filter(|(_, added_at)| everyone || is_fresh(*added_at, now));
+        batch.map(|(update, _)| update.clone()).collect()
     }
 }
 
-fn is_fresh(at: Duration, now: Duration) -> bool {
-    !at.is_zero() && now.saturating_sub(at) < FRESH
+fn is_fresh(added_at: Duration, now: Duration) -> bool {
+    !added_at.is_zero() && now.saturating_sub(added_at) < FRESH
 }
 
-/// Returns the pause after a message of `bytes` to `recipients`, of whose links and the sender's
-/// the narrowest carries `link_mbps`.
+/// Returns the pause after a message of `bytes` to `recipients` peers. `link_mbps` is the capacity of
+/// the narrowest link among theirs and the sender's.
 ///
-/// Those that are told tell as much themselves, so that each link carries as much inwards.
+/// The recipients send as much themselves, so each link carries the same amount inbound.
 #[must_use]
 pub fn pause(bytes: usize, recipients: usize, link_mbps: u32) -> Duration {
-    let sent = u32::try_from((bytes + HEADERS).saturating_mul(recipients));
-    let bits = f64::from(sent.unwrap_or(u32::MAX)) * 8.0;
+    let bytes_sent = u32::try_from((bytes + HEADER_BYTES).saturating_mul(recipients));
+    let bits = f64::from(bytes_sent.unwrap_or(u32::MAX)) * 8.0;
     let bits_per_second = f64::from(link_mbps.max(1)) * 1e6;
-    Duration::from_secs_f64(bits / (bits_per_second * LINK_SHARE)).min(LONGEST_PAUSE)
+    Duration::from_secs_f64(bits / (bits_per_second * LINK_SHARE)).min(MAX_PAUSE)
 }
