--- a/coordination/tests/balance.rs
+++ b/coordination/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request: single choices, and what a load of streams meets.
+//! Load balancing of single requests and of simulated loads, and the election of store readers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -52,21 +52,21 @@
 }
 
 #[test]
-fn a_server_that_fails_more_than_the_others_gets_less() {
-    let grey = Candidate {
+fn a_server_with_more_failures_than_the_others_gets_less() {
+    let failing = Candidate {
         failure_rate: 0.4,
-        ..candidate("grey")
+        ..candidate("failing")
     };
     let busy = Candidate {
         requests: 5.0,
         ..candidate("busy")
     };
-    assert_eq!(choose(&[grey, busy], 1.0, 1), Some(1));
+    assert_eq!(choose(&[failing, busy], 1.0, 1), Some(1));
 }
 
-/// A fault that all servers share (requests that fail everywhere) drives nobody away.
+/// Requests that fail on every server must not move load between servers.
 #[test]
-fn failures_that_all_share_count_for_nothing() {
+fn failures_common_to_all_servers_are_ignored() {
     let failing = |name, requests| Candidate {
         failure_rate: 0.3,
         requests,
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn what_others_say_counts_only_without_evidence_of_one_s_own() {
+fn peer_reports_count_only_without_a_recent_own_response() {
     let now = Duration::from_secs(5);
     let mut load = Load::default();
     load.record_outcome(false, now);
@@ -87,33 +87,33 @@
 }
 
 #[test]
-fn what_a_silent_peer_told_is_forgotten() {
+fn the_report_of_a_silent_peer_expires() {
     let mut table = Table::default();
     let count = Count {
         streams: 2,
         prefilling: 1,
     };
-    let told = HashMap::from([(Arc::from("s1"), count)]);
-    table.record(Arc::from("entry-1"), told.clone(), Duration::ZERO);
-    table.record(Arc::from("entry-1"), told, Duration::ZERO);
+    let report = HashMap::from([(Arc::from("s1"), count)]);
+    table.record(Arc::from("entry-1"), report.clone(), Duration::ZERO);
+    table.record(Arc::from("entry-1"), report, Duration::ZERO);
     assert_eq!(table.at("s1"), count, "a repeated message counted twice");
     table.expire(FRESH + Duration::from_millis(1));
     assert_eq!(table.at("s1"), Count::default());
 }
 
-/// Plays streams that six entries place on 24 servers and returns the most prompts that were read
-/// at one server at once. A prompt takes a second; 6.2 streams come each second.
-fn most_prompts_at_once(tell: bool, seed: u64) -> u32 {
+/// Simulates streams that six entries place on 24 servers, and returns the maximum number of
+/// concurrent prefills at one server. A prefill takes a second; 6.2 streams arrive each second.
+fn max_concurrent_prefills(exchange: bool, seed: u64) -> u32 {
     let names: Vec<Arc<str>> = (0..24).map(|n| Arc::from(format!("s{n}"))).collect();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut loads = vec![vec![Load::default(); names.len()]; 6];
     let mut tables: Vec<Table> = (0..6).map(|_| Table::default()).collect();
-    let mut reading: Vec<(Duration, usize, usize)> = Vec::new();
-    let mut most = 0;
+    let mut prefilling: Vec<(Duration, usize, usize)> = Vec::new();
+    let mut max = 0;
     let mut now = Duration::ZERO;
     while now < Duration::from_mins(2) {
         now += Duration::from_secs_f64(-rng.random::<f64>().max(1e-9).ln() / 6.2);
-        reading.retain(|(end, entry, server)| {
+        prefilling.retain(|(end, entry, server)| {
             if *end <= now {
                 loads[*entry][*server].prefill_ended();
                 loads[*entry][*server].request_ended();
@@ -132,46 +132,52 @@
         let server = choose(&candidates, 1.0, rng.random()).expect("servers");
         loads[entry][server].request_started();
         loads[entry][server].prefill_started();
-        reading.push((now + Duration::from_secs(1), entry, server));
-        let at = reading.iter().filter(|(_, _, other)| *other == server);
-        most = most.max(u32::try_from(at.count()).expect("few"));
-        for (teller, load) in loads.iter().enumerate().filter(|_| tell) {
-            let told: HashMap<Arc<str>, Count> = names
+        prefilling.push((now + Duration::from_secs(1), entry, server));
+        let at = prefilling.iter().filter(|(_, _, other)| *other == server);
+        max = max.max(u32::try_from(at.count()).expect("few"));
+        for (sender, load) in loads.iter().enumerate().filter(|_| exchange) {
+            let report: HashMap<Arc<str>, Count> = names
                 .iter()
                 .zip(load)
                 .map(|(name, load)| (Arc::clone(name), load.streams()))
                 .collect();
-            for (hearer, table) in tables.iter_mut().enumerate() {
-                if hearer != teller {
-                    table.record(Arc::from(format!("e{teller}")), told.clone(), now);
+            for (receiver, table) in tables.iter_mut().enumerate() {
+                if receiver != sender {
+                    table.record(Arc::from(format!("e{sender}")), report.clone(), now);
                 }
             }
         }
     }
-    most
+    max
 }
 
-/// The load that the exchange of streams answers: without it prompts queue behind one another
-/// while other servers are free.
+/// Without the exchange of stream counts, prompts queue behind one another while other servers are
+/// idle.
 #[test]
-fn entries_that_tell_one_another_do_not_stack_prompts() {
+fn entries_that_exchange_their_load_do_not_stack_prompts() {
     for seed in 0..5 {
-        let told = most_prompts_at_once(true, seed);
-        let untold = most_prompts_at_once(false, seed);
-        assert!(told <= 2, "seed {seed}: {told} prompts at one server");
-        assert!(untold > told, "seed {seed}: {untold} without messages");
+        let exchanged = max_concurrent_prefills(true, seed);
+        let separate = max_concurrent_prefills(false, seed);
+        assert!(
+            exchanged <= 2,
+            "seed {seed}: {exchanged} concurrent prefills at one server"
+        );
+        assert!(
+            separate > exchanged,
+            "seed {seed}: {separate} without messages"
+        );
     }
 }
 
-/// Plays a fleet whose first readers fall silent, and returns how many entries read at most at once
-/// afterwards, and after how long there were two again.
-fn step_in(entries: usize) -> (usize, Duration) {
+/// Simulates a fleet whose first readers fall silent. Returns the maximum number of concurrent
+/// readers afterwards, and the time until two entries read again.
+fn take_over(entries: usize) -> (usize, Duration) {
     let names: Vec<Arc<str>> = (0..entries)
         .map(|n| Arc::from(format!("entry-{n}")))
         .collect();
     let mut fleet: Vec<Election> = names.iter().map(|name| Election::new(name, 100)).collect();
     let mut silent: Vec<usize> = Vec::new();
-    let (mut most, mut back) = (0, None);
+    let (mut max, mut recovery) = (0, None);
     for tick in 0..60_u64 {
         let now = Duration::from_millis(100 * tick);
         let reads: Vec<bool> = (0..entries)
@@ -183,36 +189,38 @@
             silent.clone_from(&reading);
         }
         if tick > 20 {
-            most = most.max(reading.len());
-            if reading.len() >= 2 && back.is_none() {
-                back = Some(now.saturating_sub(Duration::from_secs(2)));
+            max = max.max(reading.len());
+            if reading.len() >= 2 && recovery.is_none() {
+                recovery = Some(now.saturating_sub(Duration::from_secs(2)));
             }
         }
-        for (hearer, readers) in fleet.iter_mut().enumerate() {
-            let heard = (0..entries).filter(|e| *e != hearer && !silent.contains(e));
-            for entry in heard {
-                readers.record(&names[entry], 100, reads[entry], now);
+        for (receiver, election) in fleet.iter_mut().enumerate() {
+            let senders = (0..entries).filter(|e| *e != receiver && !silent.contains(e));
+            for entry in senders {
+                election.record(&names[entry], 100, reads[entry], now);
             }
         }
     }
-    (most, back.expect("nobody stepped in"))
+    (max, recovery.expect("no entry took over"))
 }
 
-/// The load that the order of stepping in answers: a fleet that reads all at once tells itself
-/// megabytes.
+/// If the whole fleet took over at the same time, its entries would send one another megabytes.
 #[test]
-fn a_few_entries_step_in_for_readers_that_fall_silent() {
+fn a_few_entries_take_over_from_readers_that_fall_silent() {
     for entries in [6, 9, 81] {
-        let (most, back) = step_in(entries);
-        assert!(most <= 6, "{entries} entries: {most} read at once");
-        // A server that leaves has to be known within 2 s.
-        assert!(back < Duration::from_secs(2), "{entries} entries: {back:?}");
+        let (max, recovery) = take_over(entries);
+        assert!(max <= 6, "{entries} entries: {max} concurrent readers");
+        // The departure of a server must be known within 2 s.
+        assert!(
+            recovery < Duration::from_secs(2),
+            "{entries} entries: {recovery:?}"
+        );
     }
 }
 
-/// The load that answers: a reader tells a large fleet of each change, which fills a narrow link.
+/// A reader announces each change to the fleet, which saturates a narrow link if the fleet is large.
 #[test]
-fn entries_with_narrow_links_leave_the_reading_to_others() {
+fn entries_with_narrow_links_leave_reading_to_others() {
     let mut narrow = Election::new("a", 10);
     let mut wide = Election::new("b", 200);
     for name in ["c", "d", "e"] {
@@ -224,7 +232,7 @@
 }
 
 #[test]
-fn an_entry_that_the_store_turns_away_knows_that_others_read() {
+fn an_entry_refused_by_the_store_knows_that_others_read() {
     let mut first = Election::new("a", 200);
     assert!(!first.others_read(Duration::ZERO));
     first.record(&Arc::from("b"), 10, true, Duration::ZERO);
@@ -234,15 +242,15 @@
 }
 
 #[test]
-fn an_entry_that_hears_of_nobody_reads() {
-    let readers = Election::new("entry-0", 100);
-    assert!(readers.must_read(Duration::from_secs(1)));
+fn an_entry_without_announcements_from_others_reads() {
+    let election = Election::new("entry-0", 100);
+    assert!(election.must_read(Duration::from_secs(1)));
 }
 
-/// Plays streams that 4 failure domains of 45 servers take, and returns how many of those that run
-/// when all entries stop are found again by asking 32 servers.
+/// After a restart of all entries, a stream's server must be found by querying 32 of the 180 servers
+/// in 4 failure domains.
 #[test]
-fn the_server_that_ran_a_stream_is_among_those_that_are_asked() {
+fn the_server_that_ran_a_stream_is_among_the_likely_ones() {
     let servers: Vec<(u64, Proximity)> = (0..180)
         .map(|index| {
             let near = if index % 4 == 0 {
@@ -257,7 +265,7 @@
     let mut runs = vec![0_u32; servers.len()];
     let (mut found, mut all) = (0, 0);
     for stream in 0..2_000_u64 {
-        let lot = random.random();
+        let request_hash = random.random();
         let candidates: Vec<Candidate> = servers
             .iter()
             .zip(&runs)
@@ -268,7 +276,7 @@
                 ..candidate("")
             })
             .collect();
-        let chosen = choose(&candidates, 1.0, lot).expect("a server");
+        let chosen = choose(&candidates, 1.0, request_hash).expect("a server");
         runs[chosen] += 1;
         // Streams of this and of other failure domains end at the same rate.
         if stream % 2 == 0 {
@@ -281,27 +289,28 @@
             }
         }
         all += 1;
-        found += u32::from(likely_servers(&servers, lot, 32).contains(&chosen));
+        found += u32::from(likely_servers(&servers, request_hash, 32).contains(&chosen));
     }
     assert!(found * 10 >= all * 8, "{found} of {all} found");
 }
 
 #[test]
-fn no_more_servers_are_asked_than_there_are() {
+fn likely_servers_are_no_more_than_all_servers() {
     let servers = [(1, Proximity::FailureDomain), (2, Proximity::Region)];
     assert_eq!(likely_servers(&servers, 5, 32).len(), 2);
     assert_eq!(likely_servers(&servers, 5, 1).len(), 1);
     assert!(likely_servers(&[], 5, 8).is_empty());
 }
 
-/// Two readers' watches fall silent at the same moment. Each has just heard that the other reads, and
-/// a configuration has to be in force 2 s after its acceptance: both ask again at once.
+/// The watches of two readers fall silent at the same moment, each reader having just received the
+/// announcement that the other reads. Both must retry immediately, since a configuration must be in
+/// force 2 s after its acceptance.
 #[test]
-fn a_lost_answer_is_asked_for_again_at_once_though_others_read() {
+fn a_lost_response_is_retried_immediately_although_others_read() {
     for failures in 1..=2 {
         assert!(retry_pause(failures, true) <= Duration::from_millis(50));
     }
-    let turned_away = retry_pause(3, true);
-    assert!(turned_away >= Duration::from_secs(1), "{turned_away:?}");
+    let refused = retry_pause(3, true);
+    assert!(refused >= Duration::from_secs(1), "{refused:?}");
     assert!(retry_pause(9, false) <= Duration::from_millis(250));
 }
--- a/coordination/tests/canary.rs
+++ b/coordination/tests/canary.rs
@@ -1,5 +1,5 @@
-//! Moves of a service by evidence: what good and bad versions get over all entries, and how the
-//! moves end.
+//! Simulated moves of a service: the requests that good and bad versions get over all entries, and
+//! the verdicts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What the users' platform allows a bad version.
+/// Limits of the platform on the requests that a bad version may receive.
 const BOUNDS: Bounds = Bounds {
     share: 0.1,
     slack: 50.0,
 };
 
-/// Time that the move may take.
-const LASTS: Duration = Duration::from_secs(16);
+/// Duration of the move.
+const DURATION: Duration = Duration::from_secs(16);
 
-/// Time at which the order is given.
+/// Time at which the order is issued.
 const START: Duration = Duration::from_secs(100);
 
-/// Step of the played time, and the delay of messages between entries.
+/// Step of the simulated time, and the delay of messages between entries.
 const STEP: Duration = Duration::from_millis(50);
 
-/// A load and how the new version answers it.
+/// A load and the behaviour of the new version under it.
 #[derive(Clone, Copy)]
 struct Case {
     entries: usize,
     per_second: f64,
-    /// Share of all answers that fail, whatever the version.
+    /// Share of the responses of either version that fail.
     usual_failures: f64,
-    /// Share of the new version's answers that fail, and from when.
+    /// Further share of the new version's responses that fail after `from`.
     failures: f64,
     from: Duration,
     slowness: f64,
@@ -46,17 +46,17 @@
     slowness: 1.0,
 };
 
-/// What a move came to.
+/// The outcome of a simulated move.
 #[derive(Debug)]
-struct Played {
+struct Outcome {
     new: f64,
     all: f64,
     verdicts: Vec<Verdict>,
-    /// Requests to the new version later than 5 s after its 50th bad answer.
+    /// Requests to the new version later than 5 s after its 50th bad response.
     late: u32,
 }
 
-impl Played {
+impl Outcome {
     fn within_bounds(&self) -> bool {
         self.new <= BOUNDS.share * self.all + BOUNDS.slack && self.late == 0
     }
@@ -78,12 +78,12 @@
     Order {
         version: Arc::from("v2"),
         revision: 7,
-        duration: LASTS,
+        duration: DURATION,
     }
 }
 
-/// Plays a move: requests come at random to all entries, which tell one another each step.
-fn play(case: Case, seed: u64) -> Played {
+/// Simulates a move: requests arrive at random at all entries, which exchange reports each step.
+fn simulate(case: Case, seed: u64) -> Outcome {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut entries: Vec<Canary> = (0..case.entries)
         .map(|index| {
@@ -98,19 +98,19 @@
     let (mut new, mut all, mut late) = (0.0, 0.0, 0);
     let (mut bad_answers, mut fiftieth) = (0, None);
     let mut now = START;
-    while now < START + LASTS {
+    while now < START + DURATION {
         let expected = case.per_second * STEP.as_secs_f64();
-        let mut rest = expected;
-        while rest > 0.0 {
-            let comes = random.random_bool(rest.min(1.0));
-            rest -= 1.0;
-            if !comes {
+        let mut remaining = expected;
+        while remaining > 0.0 {
+            let arrives = random.random_bool(remaining.min(1.0));
+            remaining -= 1.0;
+            if !arrives {
                 continue;
             }
             let entry = random.random_range(0..case.entries);
             let count = u32::try_from(case.entries).expect("few entries");
-            let side = entries[entry].assign(count, now);
-            let is_new = side == Some(Cohort::Canary);
+            let cohort = entries[entry].assign(count, now);
+            let is_new = cohort == Some(Cohort::Canary);
             all += 1.0;
             let worse = is_new && now >= START + case.from;
             if is_new {
@@ -128,7 +128,7 @@
                 }
             }
             let took = 60.0 * factor * random.random_range(0.6..1.6);
-            let side = if is_new {
+            let cohort = if is_new {
                 Cohort::Canary
             } else {
                 Cohort::Baseline
@@ -136,7 +136,7 @@
             entries[entry].observe(
                 Observation {
                     call: (!failed).then(|| Duration::from_secs_f64(took / 1_000.0)),
-                    ..Observation::failure(side, "", failed)
+                    ..Observation::failure(cohort, "", failed)
                 },
                 now,
             );
@@ -156,7 +156,7 @@
     }
     let verdicts = entries.iter().map(|entry| entry.verdict().cloned());
     let verdicts = verdicts.map(|verdict| verdict.expect("each move ends in time"));
-    Played {
+    Outcome {
         new,
         all,
         verdicts: verdicts.collect(),
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn good_versions_are_done_in_time_within_what_a_bad_one_may_get() {
+fn good_versions_are_done_in_time_within_the_limits_for_a_bad_one() {
     let streams = Case {
         per_second: 6.2,
         usual_failures: 0.1,
@@ -177,18 +177,18 @@
         ..GOOD
     };
     for (name, case) in [("calls", GOOD), ("streams", streams), ("large", large)] {
-        let played: Vec<Played> = (0..10).map(|seed| play(case, seed)).collect();
+        let outcomes: Vec<Outcome> = (0..10).map(|seed| simulate(case, seed)).collect();
         assert!(
-            played.iter().all(Played::within_bounds),
-            "{name}: {played:?}"
+            outcomes.iter().all(Outcome::within_bounds),
+            "{name}: {outcomes:?}"
         );
-        let good = played.iter().filter(|played| played.good()).count();
-        assert!(good >= 9, "{name}: {good} of 10 done, {played:?}");
+        let good = outcomes.iter().filter(|outcome| outcome.good()).count();
+        assert!(good >= 9, "{name}: {good} of 10 done, {outcomes:?}");
     }
 }
 
 #[test]
-fn bad_versions_are_taken_back_within_what_they_may_get() {
+fn bad_versions_are_taken_back_within_their_limits() {
     let fails = Case {
         failures: 0.5,
         ..GOOD
@@ -214,31 +214,31 @@
         ("large", large),
     ] {
         for seed in 0..10 {
-            let played = play(case, seed);
-            assert!(played.within_bounds(), "{name}, seed {seed}: {played:?}");
-            assert!(played.bad(), "{name}, seed {seed}: {played:?}");
+            let outcome = simulate(case, seed);
+            assert!(outcome.within_bounds(), "{name}, seed {seed}: {outcome:?}");
+            assert!(outcome.bad(), "{name}, seed {seed}: {outcome:?}");
         }
     }
 }
 
-/// A version that turns bad when it gets all requests must not get more than it may.
+/// A version that turns bad after the shift of all requests to it must stay within the limits.
 #[test]
-fn a_version_that_turns_bad_at_the_end_stays_within_what_it_may_get() {
+fn a_version_that_turns_bad_at_the_end_stays_within_its_limits() {
     for seed in 0..10 {
-        let played = play(
+        let outcome = simulate(
             Case {
                 failures: 0.5,
-                from: LASTS.saturating_sub(Duration::from_secs(1)),
+                from: DURATION.saturating_sub(Duration::from_secs(1)),
                 ..GOOD
             },
             seed,
         );
-        assert!(played.within_bounds(), "seed {seed}: {played:?}");
+        assert!(outcome.within_bounds(), "seed {seed}: {outcome:?}");
     }
 }
 
 #[test]
-fn an_entry_that_does_not_know_the_order_s_age_sends_nothing_to_the_new_version() {
+fn an_entry_that_does_not_know_the_order_s_age_sends_nothing_to_the_canary() {
     let mut entry = Canary::new(order(), BOUNDS, 0.0, false, START);
     assert_eq!(entry.assign(1, START), Some(Cohort::Baseline));
     assert!(!entry.conclude(START + Duration::from_secs(1)));
@@ -247,24 +247,27 @@
 }
 
 #[test]
-fn an_entry_that_started_again_learns_the_order_s_age_from_its_peers() {
+fn a_restarted_entry_takes_the_order_s_age_from_its_peers() {
     let mut peer = Canary::new(order(), BOUNDS, 0.5, true, START);
     peer.assign(2, START);
     let now = START + Duration::from_secs(10);
     let mut entry = Canary::new(order(), BOUNDS, 0.0, false, now);
     entry.receive(&Arc::from("peer"), peer.report(now), now);
     assert!(!entry.conclude(now + Duration::from_secs(4)));
-    assert!(entry.conclude(START + LASTS));
+    assert!(entry.conclude(START + DURATION));
 }
 
 #[test]
-fn what_the_store_says_goes_before_what_an_entry_found() {
+fn the_verdict_in_the_store_overrides_that_of_an_entry() {
     let mut entry = Canary::new(order(), BOUNDS, 0.5, true, START);
     entry.record(Verdict::Good);
-    assert_eq!(entry.assign(1, START + LASTS), Some(Cohort::Canary));
-    assert_eq!(entry.assign(1, START + LASTS * 2), None);
+    assert_eq!(entry.assign(1, START + DURATION), Some(Cohort::Canary));
+    assert_eq!(entry.assign(1, START + DURATION * 2), None);
     entry.record(Verdict::Bad {
         reason: Arc::from("recorded"),
     });
-    assert_eq!(entry.assign(1, START + LASTS * 2), Some(Cohort::Baseline));
+    assert_eq!(
+        entry.assign(1, START + DURATION * 2),
+        Some(Cohort::Baseline)
+    );
 }
--- a/coordination/tests/detector.rs
+++ b/coordination/tests/detector.rs
@@ -1,4 +1,4 @@
-//! What the failure detector learns, and what it does not.
+//! The bounds that the adaptive failure detector derives from observed gaps.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     }
 }
 
-fn learn(detector: &mut Detector, server: &str, phase: Phase, milliseconds: u64) {
+fn observe_gaps(detector: &mut Detector, server: &str, phase: Phase, milliseconds: u64) {
     for _ in 0..200 {
         detector.observe(&subject(server), phase, Duration::from_millis(milliseconds));
     }
@@ -41,7 +41,7 @@
 #[test]
 fn a_new_server_is_judged_by_its_version_and_a_new_version_by_the_ceiling() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "engine-0", Phase::InterToken, 10);
+    observe_gaps(&mut detector, "engine-0", Phase::InterToken, 10);
     assert_eq!(
         detector.bound(&subject("engine-1"), Phase::InterToken),
         BOUNDS.floor
@@ -58,10 +58,10 @@
 }
 
 #[test]
-fn a_slow_server_is_borne_without_the_quick_ones_waiting_longer() {
+fn a_slow_server_has_a_higher_bound_than_a_quick_one() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "slow", Phase::InterToken, 300);
-    learn(&mut detector, "quick", Phase::InterToken, 10);
+    observe_gaps(&mut detector, "slow", Phase::InterToken, 300);
+    observe_gaps(&mut detector, "quick", Phase::InterToken, 10);
     assert!(detector.bound(&subject("slow"), Phase::InterToken) >= Duration::from_millis(600));
     assert_eq!(
         detector.bound(&subject("quick"), Phase::InterToken),
@@ -72,8 +72,8 @@
 #[test]
 fn a_silence_widens_the_bound_of_its_server_only() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "engine-0", Phase::InterToken, 10);
-    learn(&mut detector, "engine-1", Phase::InterToken, 10);
+    observe_gaps(&mut detector, "engine-0", Phase::InterToken, 10);
+    observe_gaps(&mut detector, "engine-1", Phase::InterToken, 10);
     detector.record_timeout(&subject("engine-0"), Phase::InterToken, BOUNDS.floor);
     let widened = detector.bound(&subject("engine-0"), Phase::InterToken);
     assert!(widened > BOUNDS.floor);
@@ -81,14 +81,14 @@
         detector.bound(&subject("engine-1"), Phase::InterToken),
         BOUNDS.floor
     );
-    learn(&mut detector, "engine-0", Phase::InterToken, 10);
+    observe_gaps(&mut detector, "engine-0", Phase::InterToken, 10);
     assert!(detector.bound(&subject("engine-0"), Phase::InterToken) < widened);
 }
 
 #[test]
 fn servers_that_have_gone_are_forgotten() {
     let mut detector = Detector::new(BOUNDS);
-    learn(&mut detector, "engine-0", Phase::InterToken, 10);
+    observe_gaps(&mut detector, "engine-0", Phase::InterToken, 10);
     detector.retain(|_| false);
     assert_eq!(detector.servers(), 0);
     assert_eq!(
--- a/coordination/tests/evidence.rs
+++ b/coordination/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! How often evidence speaks against good versions, and how soon against bad ones.
+//! False alarms of the evidence against good versions, and its delay in rejecting bad ones.
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 const STAGES: [(f64, u32); 4] = [(0.05, 60), (0.25, 300), (0.5, 600), (1.0, 1_000)];
 
 /// Draws an observation of a version on one of three routes.
-fn draw(random: &mut ChaCha8Rng, side: Cohort, version: Version) -> Observation {
+fn draw(random: &mut ChaCha8Rng, cohort: Cohort, version: Version) -> Observation {
     let route = ["", "GET /plots", "GET /records"][random.random_range(0..3)];
     let failed = random.random_bool(version.failures);
     let tail = if random.random_bool(version.tail) {
@@ -36,12 +36,12 @@
     let call = (!failed).then(|| Duration::from_secs_f64(time / 1_000.0));
     Observation {
         call,
-        ..Observation::failure(side, route, failed)
+        ..Observation::failure(cohort, route, failed)
     }
 }
 
-/// Runs a move through its stages; returns after how many of its requests the new version was
-/// found bad, or nothing.
+/// Runs a move through its stages. Returns the number of the new version's requests after which it
+/// was rejected, or `None`.
 fn run(seed: u64, old: Version, new: impl Fn(u32) -> Version) -> Option<u32> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut evidence = Evidence::new(Tolerance::default(), 4);
@@ -133,27 +133,27 @@
     }
 }
 
-/// Draws a time between tokens on a busy machine: what the engine takes, and a wait for the
-/// processor, `mean_wait_ms` in the mean, that hits both versions alike.
+/// Draws a time between tokens on a busy machine: the engine's own time, and a wait for the
+/// processor with the mean `mean_wait_ms` that is the same for both versions.
 fn draw_busy(
     random: &mut ChaCha8Rng,
-    side: Cohort,
+    cohort: Cohort,
     engine_ms: f64,
     mean_wait_ms: f64,
 ) -> Observation {
     let wait_ms = -mean_wait_ms * f64::ln(random.random_range(f64::MIN_POSITIVE..1.0));
     Observation {
         gap: Some(Duration::from_secs_f64((engine_ms + wait_ms) / 1_000.0)),
-        ..Observation::failure(side, "", false)
+        ..Observation::failure(cohort, "", false)
     }
 }
 
-/// Returns after how many of `most` requests a version whose engine takes `engine_ms` is found bad
-/// on a busy machine, where the old version's takes 4 ms.
-fn run_busy(seed: u64, engine_ms: f64, most: u32) -> Option<u32> {
+/// Returns the number of requests, at most `limit`, after which a version whose engine takes
+/// `engine_ms` per token is rejected on a busy machine. The old version's engine takes 4 ms.
+fn run_busy(seed: u64, engine_ms: f64, limit: u32) -> Option<u32> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut evidence = Evidence::new(Tolerance::default(), 3);
-    (1..=most).find(|_| {
+    (1..=limit).find(|_| {
         for _ in 0..19 {
             evidence.observe(&draw_busy(&mut random, Cohort::Baseline, 4.0, 20.0));
         }
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn slowness_is_found_beneath_noise_that_both_versions_share() {
+fn slowness_is_detected_despite_noise_that_both_versions_share() {
     for seed in 0..20 {
         let found = run_busy(seed, 40.0, 30);
         assert!(found.is_some(), "seed {seed}: not found in 30 requests");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_version_that_serves_alone_bears_noise_that_comes_up() {
+fn noise_that_begins_while_a_version_serves_alone_is_tolerated() {
     let alarms = (0..100).filter(|seed| {
         let mut random = ChaCha8Rng::seed_from_u64(*seed);
         let mut evidence = Evidence::new(Tolerance::default(), 3);
@@ -196,22 +196,22 @@
 }
 
 #[test]
-fn a_fault_of_one_route_is_found_and_named() {
+fn a_fault_of_one_route_is_detected_and_named() {
     let mut random = ChaCha8Rng::seed_from_u64(7);
     let mut evidence = Evidence::new(Tolerance::default(), 4);
-    let against = (0..20_000).find_map(|_| {
+    let rejection = (0..20_000).find_map(|_| {
         let new = random.random_bool(0.05);
-        let side = if new {
+        let cohort = if new {
             Cohort::Canary
         } else {
             Cohort::Baseline
         };
-        let mut observation = draw(&mut random, side, GOOD);
+        let mut observation = draw(&mut random, cohort, GOOD);
         let bad = new && &*observation.route == "GET /plots";
         observation.failed = Some(bad);
         evidence.observe(&observation);
         evidence.rejection()
     });
-    let against = against.expect("the fault is found");
-    assert!(against.contains("fails more often"), "{against}");
+    let rejection = rejection.expect("the fault is found");
+    assert!(rejection.contains("fails more often"), "{rejection}");
 }
--- a/coordination/tests/group_outage.rs
+++ b/coordination/tests/group_outage.rs
@@ -1,4 +1,4 @@
-//! Groups of servers that can't be reached, and detectors of single servers.
+//! Detection of unreachable groups of servers, and failure detection of single servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn one_server_that_fails_says_nothing_of_its_group() {
+fn failures_of_one_server_do_not_make_its_group_suspect() {
     let mut groups = Groups::default();
     for step in 0..5 {
         assert!(!groups.record_failure("cage-a", &name("s1"), at(100 * step)));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn two_servers_that_fail_in_short_order_put_the_group_behind() {
+fn two_servers_that_fail_within_the_window_make_the_group_suspect() {
     let mut groups = Groups::default();
     groups.record_failure("cage-a", &name("s1"), at(0));
     assert!(groups.record_failure("cage-a", &name("s2"), at(150)));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_further_failure_renews_the_suspicion_and_an_answer_ends_it() {
+fn a_further_failure_renews_the_suspicion_and_a_response_ends_it() {
     let mut groups = Groups::default();
     groups.record_failure("cage-a", &name("s1"), at(0));
     groups.record_failure("cage-a", &name("s2"), at(150));
@@ -49,14 +49,14 @@
 }
 
 #[test]
-fn failures_far_apart_say_nothing() {
+fn failures_far_apart_do_not_make_the_group_suspect() {
     let mut groups = Groups::default();
     groups.record_failure("cage-a", &name("s1"), at(0));
     assert!(!groups.record_failure("cage-a", &name("s2"), at(2_000)));
 }
 
 #[test]
-fn a_server_is_lost_only_after_unanswered_questions() {
+fn a_server_is_lost_only_after_failed_probes() {
     let bounds = Bounds::default();
     let mut detector = Detector::new(bounds, at(0));
     assert_eq!(
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_answer_or_an_event_between_keeps_a_server() {
+fn a_response_or_an_event_after_a_failed_probe_keeps_a_server() {
     let bounds = Bounds::default();
     let mut detector = Detector::new(bounds, at(0));
     detector.record_failed_probe(at(100));
@@ -80,13 +80,13 @@
     assert_eq!(
         detector.next_step(at(200), false),
         Step::Wait(at(150) + bounds.silence_limit),
-        "a question asked before the last event counts"
+        "a probe sent before the last event counts"
     );
 }
 
-/// A loss is found in less than half of the pause that makes a stream late.
+/// A loss must be detected in less than half of the pause that makes a stream late.
 #[test]
-fn a_silent_server_is_found_in_time_to_go_on() {
+fn a_silent_server_is_detected_in_time_to_resume_its_streams() {
     let bounds = Bounds::default();
     let found = bounds.silence_limit + bounds.probe_timeout * bounds.probe_limit;
     assert!(found * 2 <= at(700), "{found:?}");
--- a/coordination/tests/placement.rs
+++ b/coordination/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: proximity first, affinity next, bounded load between them; and ejection.
+//! Placement by proximity, bounded load and prefix affinity, in this order, and ejection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -55,15 +55,15 @@
 }
 
 #[test]
-fn one_prefix_meets_one_server_and_few_move_when_a_server_leaves() {
+fn a_prefix_keeps_its_server_and_few_prefixes_move_when_a_server_leaves() {
     let all = idle(20);
-    let left = idle(19);
+    let remaining = idle(19);
     let prefixes: Vec<u64> = (0..1_000)
         .map(|number| prefix_hash(&format!("manifest of camp {number}")))
         .collect();
     let moved = prefixes
         .iter()
-        .filter(|prefix| choose(&all, **prefix) != choose(&left, **prefix))
+        .filter(|prefix| choose(&all, **prefix) != choose(&remaining, **prefix))
         .count();
     assert!(
         moved < 100,
@@ -72,16 +72,16 @@
 }
 
 #[test]
-fn a_server_over_the_bound_is_passed_over() {
+fn a_server_above_its_load_bound_is_avoided() {
     let mut all = idle(4);
-    let favourite = choose(&all, 7).expect("all fit");
-    all[favourite].used = 900;
+    let preferred = choose(&all, 7).expect("all fit");
+    all[preferred].used = 900;
     let next = choose(&all, 7).expect("all fit");
-    assert_ne!(next, favourite);
+    assert_ne!(next, preferred);
 }
 
 #[test]
-fn a_fault_that_all_share_does_not_empty_the_pool() {
+fn a_fault_that_all_servers_share_does_not_empty_the_pool() {
     let mut ejector = Ejector::new();
     let now = Duration::from_secs(1);
     let names: Vec<Arc<str>> = (0..6)
--- a/coordination/tests/registry.rs
+++ b/coordination/tests/registry.rs
@@ -1,4 +1,4 @@
-//! What is known of servers when their list lags, lapses or names one address twice.
+//! The known servers when their list lags, lapses or contains an address twice.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -28,8 +28,8 @@
     }
 }
 
-fn ready(roster: &Registry) -> Vec<String> {
-    let mut ids: Vec<String> = roster
+fn ready(registry: &Registry) -> Vec<String> {
+    let mut ids: Vec<String> = registry
         .ready("briefs")
         .map(|server| server.id.to_string())
         .collect();
@@ -39,97 +39,104 @@
 
 #[test]
 fn an_older_revision_changes_nothing() {
-    let mut roster = Registry::new();
-    assert_eq!(roster.register(leaving("a", 1), 9), Effect::Leaving);
-    assert_eq!(roster.register(server("a", 1), 8), Effect::Stale);
-    assert!(ready(&roster).is_empty(), "a server that leaves came back");
+    let mut registry = Registry::new();
+    assert_eq!(registry.register(leaving("a", 1), 9), Effect::Leaving);
+    assert_eq!(registry.register(server("a", 1), 8), Effect::Stale);
+    assert!(
+        ready(&registry).is_empty(),
+        "a server that leaves came back"
+    );
 }
 
 #[test]
-fn a_server_removed_in_order_is_gone_at_once_and_stays_gone() {
-    let mut roster = Registry::new();
-    roster.register(server("a", 1), 5);
-    assert_eq!(roster.remove("a", 7, NOW), Effect::Gone);
-    assert_eq!(roster.register(server("a", 1), 6), Effect::Stale);
-    assert!(ready(&roster).is_empty());
+fn a_server_removed_while_the_store_responds_is_gone_immediately_and_stays_gone() {
+    let mut registry = Registry::new();
+    registry.register(server("a", 1), 5);
+    assert_eq!(registry.remove("a", 7, NOW), Effect::Gone);
+    assert_eq!(registry.register(server("a", 1), 6), Effect::Stale);
+    assert!(ready(&registry).is_empty());
 }
 
 #[test]
-fn an_entry_that_lapsed_in_an_outage_is_kept_until_the_grace_after_it() {
-    let mut roster = Registry::new();
-    roster.register(server("a", 1), 5);
-    roster.register(server("b", 2), 6);
-    roster.store_lost();
-    assert_eq!(roster.remove("a", 7, NOW), Effect::Lapsed);
-    roster.store_responded(NOW);
-    assert_eq!(roster.remove("b", 8, NOW), Effect::Lapsed);
-    assert_eq!(ready(&roster), ["a", "b"]);
-    roster.register(server("b", 2), 9);
-    assert!(roster.expire(NOW + LAPSE_GRACE / 2).is_empty());
-    assert_eq!(roster.expire(NOW + LAPSE_GRACE), [Arc::from("a")]);
-    assert_eq!(ready(&roster), ["b"]);
+fn a_registration_that_lapsed_in_an_outage_is_kept_for_the_grace_period() {
+    let mut registry = Registry::new();
+    registry.register(server("a", 1), 5);
+    registry.register(server("b", 2), 6);
+    registry.store_lost();
+    assert_eq!(registry.remove("a", 7, NOW), Effect::Lapsed);
+    registry.store_responded(NOW);
+    assert_eq!(registry.remove("b", 8, NOW), Effect::Lapsed);
+    assert_eq!(ready(&registry), ["a", "b"]);
+    registry.register(server("b", 2), 9);
+    assert!(registry.expire(NOW + LAPSE_GRACE / 2).is_empty());
+    assert_eq!(registry.expire(NOW + LAPSE_GRACE), [Arc::from("a")]);
+    assert_eq!(ready(&registry), ["b"]);
 }
 
 #[test]
 fn a_server_that_was_leaving_is_not_kept_in_an_outage() {
-    let mut roster = Registry::new();
-    roster.register(leaving("a", 1), 5);
-    roster.store_lost();
-    assert_eq!(roster.remove("a", 7, NOW), Effect::Gone);
+    let mut registry = Registry::new();
+    registry.register(leaving("a", 1), 5);
+    registry.store_lost();
+    assert_eq!(registry.remove("a", 7, NOW), Effect::Gone);
 }
 
 #[test]
-fn the_next_start_at_an_address_ends_the_one_before() {
-    let mut roster = Registry::new();
-    roster.register(server("a", 1), 5);
-    roster.register(server("b", 1), 6);
-    assert_eq!(ready(&roster), ["b"]);
-    assert_eq!(roster.register(server("a", 1), 5), Effect::Stale);
-    assert_eq!(ready(&roster), ["b"], "the dead server's entry came back");
+fn a_later_start_at_an_address_replaces_the_earlier_one() {
+    let mut registry = Registry::new();
+    registry.register(server("a", 1), 5);
+    registry.register(server("b", 1), 6);
+    assert_eq!(ready(&registry), ["b"]);
+    assert_eq!(registry.register(server("a", 1), 5), Effect::Stale);
+    assert_eq!(
+        ready(&registry),
+        ["b"],
+        "the dead server's registration came back"
+    );
 }
 
 #[test]
-fn of_two_starts_at_an_address_the_later_birth_holds() {
-    let born = |id: &str, born_ms| Server {
-        started_ms: Some(born_ms),
+fn the_latest_start_time_at_an_address_wins() {
+    let started = |id: &str, started_ms| Server {
+        started_ms: Some(started_ms),
         ..server(id, 1)
     };
-    let mut roster = Registry::new();
-    roster.register(born("new", 2_000), 5);
-    assert_eq!(roster.register(born("old", 1_000), 6), Effect::Stale);
-    assert_eq!(ready(&roster), ["new"]);
+    let mut registry = Registry::new();
+    registry.register(started("new", 2_000), 5);
+    assert_eq!(registry.register(started("old", 1_000), 6), Effect::Stale);
+    assert_eq!(ready(&registry), ["new"]);
 }
 
 #[test]
-fn a_list_removes_what_it_no_longer_names() {
-    let mut roster = Registry::new();
-    roster.register(server("a", 1), 5);
-    roster.register(server("b", 2), 6);
-    roster.register(server("c", 3), 9);
-    roster.retain(&HashSet::from([Arc::from("a")]), 8, NOW);
-    assert_eq!(ready(&roster), ["a", "c"], "c is newer than the list");
+fn a_list_removes_the_servers_that_it_does_not_contain() {
+    let mut registry = Registry::new();
+    registry.register(server("a", 1), 5);
+    registry.register(server("b", 2), 6);
+    registry.register(server("c", 3), 9);
+    registry.retain(&HashSet::from([Arc::from("a")]), 8, NOW);
+    assert_eq!(ready(&registry), ["a", "c"], "c is newer than the list");
 }
 
 #[test]
-fn a_server_found_in_an_outage_is_used_and_dropped_unless_it_announces_itself() {
-    let mut roster = Registry::new();
-    roster.register(server("a", 1), 5);
-    roster.store_lost();
-    assert_eq!(roster.adopt(server("b", 1)), Effect::Joined);
-    assert_eq!(roster.adopt(server("b", 1)), Effect::Stale);
-    assert_eq!(ready(&roster), ["b"]);
-    roster.store_responded(NOW);
-    roster.expire(NOW + LAPSE_GRACE);
-    assert!(ready(&roster).is_empty());
+fn a_server_found_in_an_outage_is_used_and_dropped_unless_it_registers() {
+    let mut registry = Registry::new();
+    registry.register(server("a", 1), 5);
+    registry.store_lost();
+    assert_eq!(registry.adopt(server("b", 1)), Effect::Joined);
+    assert_eq!(registry.adopt(server("b", 1)), Effect::Stale);
+    assert_eq!(ready(&registry), ["b"]);
+    registry.store_responded(NOW);
+    registry.expire(NOW + LAPSE_GRACE);
+    assert!(ready(&registry).is_empty());
 }
 
-/// Whatever comes in whatever order, a server never comes back from an older revision.
+/// A change with an older revision must never bring a server back, in whatever order changes arrive.
 #[test]
 fn revisions_never_go_back() {
     bolero::check!()
         .with_type::<Vec<(u8, u8, bool)>>()
         .for_each(|changes| {
-            let mut roster = Registry::new();
+            let mut registry = Registry::new();
             let mut newest = [(0_u64, false); 4];
             for (id, revision, removed) in changes {
                 let index = usize::from(*id % 4);
@@ -137,20 +144,20 @@
                 let revision = u64::from(*revision) + 1;
                 let port = u16::try_from(index).expect("small") + 1;
                 if *removed {
-                    roster.remove(&name, revision, NOW);
+                    registry.remove(&name, revision, NOW);
                 } else {
-                    roster.register(server(&name, port), revision);
+                    registry.register(server(&name, port), revision);
                 }
-                let (seen, gone) = &mut newest[index];
-                if revision > *seen {
-                    (*seen, *gone) = (revision, *removed);
+                let (newest_revision, gone) = &mut newest[index];
+                if revision > *newest_revision {
+                    (*newest_revision, *gone) = (revision, *removed);
                 }
             }
-            for (index, (seen, gone)) in newest.iter().enumerate() {
-                let listed = roster.get(&format!("s{index}")).is_some();
+            for (index, (newest_revision, gone)) in newest.iter().enumerate() {
+                let known = registry.get(&format!("s{index}")).is_some();
                 assert!(
-                    !(listed && *gone),
-                    "s{index} is listed after its removal at {seen}"
+                    !(known && *gone),
+                    "s{index} is listed after its removal at {newest_revision}"
                 );
             }
         });
--- a/coordination/tests/retry_budget.rs
+++ b/coordination/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retry budgets: retries never exceed the reserve plus the share of successes.
+//! Retry budgets: retries never exceed the reserve plus the share of successes or requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_was_saved_up_is_bounded() {
+fn accumulated_retries_are_bounded() {
     let policy = Policy {
         share: 1.0,
         reserve: 0.0,
@@ -42,23 +42,23 @@
     for _ in 0..100 {
         budget.record_success();
     }
-    let taken = (0..100).filter(|_| budget.withdraw()).count();
-    assert_eq!(taken, 5);
+    let allowed = (0..100).filter(|_| budget.withdraw()).count();
+    assert_eq!(allowed, 5);
 }
 
 #[test]
 fn pauses_stay_below_the_ceiling_and_the_deadline() {
     check!()
         .with_type::<(u32, u16, u64)>()
-        .for_each(|(retry, remains, seed)| {
+        .for_each(|(retry, remaining, seed)| {
             let backoff = Backoff {
                 base: Duration::from_millis(10),
                 ceiling: Duration::from_millis(200),
             };
-            let remains = Duration::from_millis(u64::from(*remains));
+            let remaining = Duration::from_millis(u64::from(*remaining));
             let mut rng = ChaCha8Rng::seed_from_u64(*seed);
-            let pause = backoff.pause(*retry, remains, &mut rng);
-            assert!(pause.is_none_or(|pause| pause <= backoff.ceiling && pause < remains));
+            let pause = backoff.pause(*retry, remaining, &mut rng);
+            assert!(pause.is_none_or(|pause| pause <= backoff.ceiling && pause < remaining));
         });
 }
 
@@ -68,20 +68,20 @@
     span: Duration::from_secs(10),
 };
 
-/// Plays an entry of 81 that has a request every other second for ten seconds, when four of its
-/// streams are lost at once, and returns how many of them may be repeated.
+/// One of 81 entries receives a request every other second and then loses four of its streams at the
+/// same time, which it must be able to retry.
 #[test]
-fn what_requests_allow_is_there_when_servers_crash_together() {
+fn the_retries_earned_by_requests_are_available_when_servers_crash_together() {
     let mut window = Window::new(BOUNDS);
     for request in 0..10_u64 {
         window.request(Duration::from_secs(20 + request * 2));
     }
     let now = Duration::from_secs(39);
     let reserve = BOUNDS.reserve / 81.0;
-    let repeated = (0..4)
+    let retried = (0..4)
         .filter(|_| window.withdraw(reserve, &Others::default(), 0, now))
         .count();
-    assert_eq!(repeated, 4);
+    assert_eq!(retried, 4);
     assert!(
         (0..10)
             .filter(|_| window.withdraw(reserve, &Others::default(), 0, now))
@@ -90,17 +90,17 @@
     );
 }
 
-/// A span that ends with a repeat has no more of them than its requests allow; spans that end later
-/// may also count the requests before them.
+/// A window that ends with a retry contains no more retries than its requests allow; windows that
+/// end later may also count the requests before them.
 #[test]
-fn no_span_that_ends_with_a_repeat_has_more_than_requests_allow() {
+fn no_window_that_ends_with_a_retry_has_more_retries_than_requests_allow() {
     check!().with_type::<Vec<(bool, u8)>>().for_each(|events| {
         let mut window = Window::new(BOUNDS);
         let mut now = Duration::from_secs(100);
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
-        for (repeat, pause) in events {
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
+        for (retry, pause) in events {
             now += Duration::from_millis(u64::from(*pause) * 20);
-            if !repeat {
+            if !retry {
                 window.request(now);
                 requests.push(now);
                 continue;
@@ -108,43 +108,43 @@
             if !window.withdraw(3.0, &Others::default(), 0, now) {
                 continue;
             }
-            repeats.push(now);
-            // Whole parts are forgotten at a time, up to a tenth of the span too early.
+            retries.push(now);
+            // Whole slots expire at a time, up to a tenth of the window too early.
             let since = |times: &[Duration], span: Duration| {
                 let recent = times
                     .iter()
                     .filter(|time| **time > now.saturating_sub(span));
                 u32::try_from(recent.count()).map_or(f64::MAX, f64::from)
             };
-            let most = 3.0 + BOUNDS.share * since(&requests, BOUNDS.span);
-            assert!(since(&repeats, BOUNDS.span * 9 / 10) <= most + 1e-6);
+            let limit = 3.0 + BOUNDS.share * since(&requests, BOUNDS.span);
+            assert!(since(&retries, BOUNDS.span * 9 / 10) <= limit + 1e-6);
         }
     });
 }
 
-/// Entries of the users' grown site, and their streams a second.
+/// Number of entries of a large site, and its streams per second.
 const ENTRIES: usize = 81;
-const PER_SECOND: f64 = 46.0;
+const STREAMS_PER_SECOND: f64 = 46.0;
 
-/// What the users' platform allows; entries keep to `BOUNDS_KEPT`, which leaves room for what is
-/// told late.
-const BOUNDS_KEPT: Bounds = Bounds {
+/// The limits that entries apply. They are lower than those of the platform, `BOUNDS`, to leave room
+/// for usage that is reported late.
+const ENTRY_BOUNDS: Bounds = Bounds {
     share: 0.6,
     reserve: 127.0,
     span: Duration::from_secs(10),
 };
 
-/// Time until all know what an entry used.
-const TOLD_AFTER: Duration = Duration::from_millis(350);
+/// Time until the usage of an entry is known to all entries.
+const EXCHANGE_DELAY: Duration = Duration::from_millis(350);
 
-/// A fleet that plays requests and repeats in steps.
+/// A fleet whose requests and retries are simulated in steps.
 struct Fleet {
     names: Vec<Arc<str>>,
     windows: Vec<Window>,
     others: Vec<Others>,
-    told_at: Duration,
+    exchanged_at: Duration,
     requests: Vec<Duration>,
-    repeats: Vec<Duration>,
+    retries: Vec<Duration>,
 }
 
 impl Fleet {
@@ -153,11 +153,11 @@
             names: (0..ENTRIES)
                 .map(|entry| Arc::from(format!("entry-{entry}")))
                 .collect(),
-            windows: vec![Window::new(BOUNDS_KEPT); ENTRIES],
+            windows: vec![Window::new(ENTRY_BOUNDS); ENTRIES],
             others: vec![Others::default(); ENTRIES],
-            told_at: Duration::ZERO,
+            exchanged_at: Duration::ZERO,
             requests: Vec::new(),
-            repeats: Vec::new(),
+            retries: Vec::new(),
         }
     }
 
@@ -166,20 +166,20 @@
         self.requests.push(now);
     }
 
-    fn repeat(&mut self, entry: usize, now: Duration) -> bool {
-        let part = f64::max(BOUNDS_KEPT.reserve / 81.0, 3.0);
-        let taken = self.windows[entry].withdraw(part, &self.others[entry], 80, now);
-        if taken {
-            self.repeats.push(now);
+    fn retry(&mut self, entry: usize, now: Duration) -> bool {
+        let reserve_share = f64::max(ENTRY_BOUNDS.reserve / 81.0, 3.0);
+        let allowed = self.windows[entry].withdraw(reserve_share, &self.others[entry], 80, now);
+        if allowed {
+            self.retries.push(now);
         }
-        taken
+        allowed
     }
 
-    fn tell(&mut self, now: Duration) {
-        if now.saturating_sub(self.told_at) < TOLD_AFTER {
+    fn exchange(&mut self, now: Duration) {
+        if now.saturating_sub(self.exchanged_at) < EXCHANGE_DELAY {
             return;
         }
-        self.told_at = now;
+        self.exchanged_at = now;
         for peer in 0..ENTRIES {
             let usage = self.windows[peer].usage(now);
             for (entry, others) in self.others.iter_mut().enumerate() {
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Returns the most repeats of a span that ends with a repeat, against what is allowed.
+    /// Returns the highest ratio of retries to the platform's limit over the windows that end with a
+    /// retry.
     fn worst(&self) -> f64 {
         let within = |times: &[Duration], end: Duration| {
             let recent = times
@@ -200,23 +201,23 @@
         };
         let share = |end: &Duration| {
             let allowed = BOUNDS.share * within(&self.requests, *end) + BOUNDS.reserve;
-            within(&self.repeats, *end) / allowed
+            within(&self.retries, *end) / allowed
         };
-        self.repeats.iter().map(share).fold(0.0, f64::max)
+        self.retries.iter().map(share).fold(0.0, f64::max)
     }
 }
 
-/// Plays the streams of a fleet whose requests fail with the chance that `fails` gives for a moment,
-/// and are repeated four times at most; returns the fleet, and how many were given up for want of a
-/// repeat.
-fn play(seed: u64, fails: impl Fn(u32) -> f64) -> (Fleet, u32) {
+/// Simulates the streams of a fleet whose requests fail with the probability that `fails` gives for
+/// a step, and are retried at most four times. Returns the fleet, and the number of requests given
+/// up because no retry was allowed.
+fn simulate(seed: u64, fails: impl Fn(u32) -> f64) -> (Fleet, u32) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet = Fleet::new();
     let mut given_up = 0;
     for step in 0..1_000_u32 {
         let now = Duration::from_secs(20) + Duration::from_millis(25) * step;
-        fleet.tell(now);
-        if !random.random_bool((PER_SECOND * 0.025_f64 / 2.0).min(1.0)) {
+        fleet.exchange(now);
+        if !random.random_bool((STREAMS_PER_SECOND * 0.025_f64 / 2.0).min(1.0)) {
             continue;
         }
         for _ in 0..2 {
@@ -226,7 +227,7 @@
                 if !random.random_bool(fails(step)) {
                     break;
                 }
-                if !fleet.repeat(entry, now) {
+                if !fleet.retry(entry, now) {
                     given_up += 1;
                     break;
                 }
@@ -237,27 +238,27 @@
 }
 
 #[test]
-fn a_fleet_whose_servers_all_fail_stays_within_what_is_allowed() {
+fn a_fleet_whose_servers_all_fail_stays_within_its_limits() {
     for seed in 0..5 {
-        let (fleet, given_up) = play(seed, |step| if step < 400 { 0.0 } else { 1.0 });
+        let (fleet, given_up) = simulate(seed, |step| if step < 400 { 0.0 } else { 1.0 });
         let worst = fleet.worst();
-        assert!(worst <= 1.0, "seed {seed}: {worst} of what is allowed");
+        assert!(worst <= 1.0, "seed {seed}: {worst} of the limit");
         assert!(given_up > 0, "seed {seed}: the limit was reached");
     }
 }
 
-/// Twenty entries lose six streams each, and lose them again seven seconds later: each needs more
-/// than its own part, and the fleet uses less than half of what it may.
+/// Twenty entries lose six streams each, and lose them again seven seconds later. Each needs more
+/// than its own share, while the fleet uses less than half of its limit.
 #[test]
-fn entries_that_lose_many_streams_take_what_the_others_leave() {
-    let (mut fleet, _) = play(1, |_| 0.0);
+fn entries_that_lose_many_streams_use_what_the_others_leave() {
+    let (mut fleet, _) = simulate(1, |_| 0.0);
     let first = Duration::from_secs(46);
     for loss in [first, first + Duration::from_secs(7)] {
-        fleet.tell(loss);
+        fleet.exchange(loss);
         for entry in 0..20 {
             fleet.request(entry, loss);
             for stream in 0..6 {
-                assert!(fleet.repeat(entry, loss), "entry {entry}, stream {stream}");
+                assert!(fleet.retry(entry, loss), "entry {entry}, stream {stream}");
             }
         }
     }
--- a/coordination/tests/routing.rs
+++ b/coordination/tests/routing.rs
@@ -64,7 +64,7 @@
 fn targets_get_their_share() {
     let route = route("/a/", &[("x", 90), ("y", 10), ("z", 0)]);
     let of = |service: &str| {
-        let targets = (0..1_000).filter_map(|lot| route.target(lot));
+        let targets = (0..1_000).filter_map(|request_hash| route.target(request_hash));
         targets.filter(|target| &***target == service).count()
     };
     assert_eq!((of("x"), of("y"), of("z")), (900, 100, 0));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn keys_are_needed_but_on_anonymous_routes() {
+fn keys_are_required_except_on_anonymous_routes() {
     let open = Route {
         anonymous: true,
         ..route("/open/", &[("x", 1)])
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn models_tell_a_service_only_where_no_other_has_them() {
+fn a_model_identifies_a_service_only_if_no_other_service_has_it() {
     let table = table(vec![]);
     let service = |model: &str| table.service_of(&[Arc::from(model)]).map(|name| &**name);
     assert_eq!(service("m"), Some("briefs"));
