--- a/coordination/src/claim.rs
+++ b/coordination/src/claim.rs
@@ -56,7 +56,7 @@
     }
 }
 
-/// State of a call, named after the input that it expects.
+/// State of a call, with the data that the next input needs.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Phase {
     Writing { expected: u64 },
--- a/coordination/src/fencing.rs
+++ b/coordination/src/fencing.rs
@@ -19,9 +19,9 @@
 //! let mut holder = Holder::new(policy, true);
 //! let now = Duration::from_secs(10);
 //! assert_eq!(holder.next(now), Action::Acquire);
-//! holder.acquired(now, 7, now + Duration::from_secs(8));
+//! holder.record_acquired(now, 7, now + Duration::from_secs(8));
 //! assert_eq!(holder.next(now), Action::Order { fencing: 7 });
-//! holder.answered(now, Answer::Done);
+//! holder.record_answer(now, Answer::Done);
 //! let ending = Ending { outcome: Outcome::Achieved, release: true };
 //! assert_eq!(holder.next(now), Action::End(ending));
 //! ```
--- a/coordination/src/memory.rs
+++ b/coordination/src/memory.rs
@@ -21,7 +21,7 @@
 //! assert_eq!(ledger.free(engine), 400);
 //! ledger.expire(Duration::from_secs(10));
 //! assert_eq!(ledger.free(engine), 1_000);
-//! ledger.take_back(lent); // Returned after it had expired: nothing changes.
+//! ledger.end_loan(lent); // The loan has expired before: nothing changes.
 //! ```
 
 use std::time::Duration;
--- a/coordination/src/planned_stop.rs
+++ b/coordination/src/planned_stop.rs
@@ -6,10 +6,10 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use medlarfall_coordination::planned_stop::{Decision, Policy, Stand};
+//! use medlarfall_coordination::planned_stop::{Decision, Policy, Snapshot};
 //!
 //! let policy = Policy { lead: Duration::from_secs(5), margin_percent: 50 };
-//! let snapshot = Stand {
+//! let snapshot = Snapshot {
 //!     accepted: Duration::ZERO,
 //!     date: Duration::from_secs(60),
 //!     share: 0.5,
@@ -18,7 +18,7 @@
 //! };
 //! // One second of work and a margin of half a second end well before the date.
 //! assert_eq!(policy.decide(&snapshot, Duration::ZERO), Decision::Stay);
-//! let long = Stand { remaining_tokens: 100_000, ..snapshot };
+//! let long = Snapshot { remaining_tokens: 100_000, ..snapshot };
 //! let moment = Duration::from_millis(27_500);
 //! assert_eq!(policy.decide(&long, Duration::ZERO), Decision::MoveAt(moment));
 //! assert_eq!(policy.decide(&long, moment), Decision::MoveNow);
