--- a/programs/tests/at_most_once/fleet.rs
+++ b/programs/tests/at_most_once/fleet.rs
@@ -1,4 +1,5 @@
-//! Two entries, a platform and a plain service as processes.
+//! Test support: two entries, a platform stand-in and a plain service stand-in as separate
+//! processes, with fault injection.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -21,10 +22,10 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// Key of the first client account.
+/// API key of the first client account.
 pub const CEDARLINE: &str = "key-of-cedarline";
 
-/// Key of the second client account.
+/// API key of the second client account.
 pub const CHALERM: &str = "key-of-chalerm";
 
 /// A process that is killed when the test ends.
@@ -34,7 +35,7 @@
 }
 
 impl Process {
-    /// Starts a program and waits until it says where it listens.
+    /// Starts a program and waits until it prints its listening addresses.
     fn start(program: &str, arguments: &[&str]) -> Self {
         let callers = format!("cedarline = \"{CEDARLINE}\"\nchalerm = \"{CHALERM}\"");
         let mut child = Command::new(program)
@@ -48,10 +49,10 @@
             .spawn()
             .expect("the program starts");
         let mut line = String::new();
-        let stdout = child.stdout.take().expect("its output is read");
+        let stdout = child.stdout.take().expect("standard output is piped");
         BufReader::new(stdout)
             .read_line(&mut line)
-            .expect("it prints a line");
+            .expect("the program prints its addresses");
         let line: Value = serde_json::from_str(&line).expect("the line is JSON");
         Self {
             child,
@@ -59,25 +60,25 @@
         }
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the process, given as an option of `kill` such as `-STOP`.
     pub fn signal(&self, signal: &str) {
         let pid = self.child.id().to_string();
-        let sent = Command::new("kill").args([signal, &pid]).status();
-        assert!(sent.expect("kill runs").success());
+        let status = Command::new("kill").args([signal, &pid]).status();
+        assert!(status.expect("`kill` runs").success());
     }
 
-    /// Kills the process.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         self.child.kill().expect("the process is killed");
-        self.child.wait().expect("the process has ended");
+        self.child.wait().expect("the exit status of the process");
     }
 
     fn address(&self) -> SocketAddr {
-        parse(&self.listening)
+        parse_address(&self.listening)
     }
 
     fn port(&self, name: &str) -> SocketAddr {
-        parse(&self.listening[name])
+        parse_address(&self.listening[name])
     }
 }
 
@@ -88,14 +89,14 @@
     }
 }
 
-fn parse(value: &Value) -> SocketAddr {
+fn parse_address(value: &Value) -> SocketAddr {
     value
         .as_str()
         .and_then(|text| text.parse().ok())
         .expect("an address")
 }
 
-/// The processes.
+/// The processes of one test and the folder of their settings.
 pub struct Fleet {
     pub entries: Vec<Process>,
     pub platform: Process,
@@ -116,9 +117,9 @@
         fs::create_dir_all(&folder).expect("a folder for settings");
         let platform = Process::start(STANDIN, &["platform", "--instances-lag-ms", "0"]);
         let address = platform.address().to_string();
-        let service = service(&address, "service-0");
+        let service = start_service(&address, "service-0");
         let entries = (0..2)
-            .map(|index| entry(&folder, &address, index))
+            .map(|index| start_entry(&folder, &address, index))
             .collect();
         let fleet = Self {
             entries,
@@ -129,20 +130,21 @@
         let declared = fleet.operator(0).apply(cluster::tracker("v1")).await;
         declared.expect("the declaration is accepted");
         for index in 0..2 {
-            fleet.ready(index, 1).await;
+            fleet.wait_until_ready(index, 1).await;
         }
         fleet
     }
 
-    /// Starts another instance of the service in place of the one that was killed.
+    /// Starts another instance of the service in place of the killed one, and waits until both
+    /// entries know only the new one.
     pub async fn replace_service(&mut self) {
         let platform = self.platform.address();
-        let gone = Caller::new(platform, "none")
+        let removal = Caller::new(platform, "none")
             .call(Method::DELETE, "/instances/service-0", "")
             .await
             .expect("the platform answers");
-        assert_eq!(gone.status, 200);
-        self.service = service(&platform.to_string(), "service-1");
+        assert_eq!(removal.status, 200);
+        self.service = start_service(&platform.to_string(), "service-1");
         for index in 0..2 {
             let mut operator = self.operator(index);
             let mut known = false;
@@ -155,7 +157,8 @@
         }
     }
 
-    async fn ready(&self, entry: usize, servers: usize) {
+    /// Waits until an entry knows the declared service and `servers` backend servers.
+    async fn wait_until_ready(&self, entry: usize, servers: usize) {
         let mut operator = self.operator(entry);
         let mut ready = false;
         while !ready {
@@ -168,66 +171,67 @@
     }
 
     fn operator(&self, entry: usize) -> Operator {
-        Operator::new(self.entries[entry].port("operators"), OPERATOR_KEY).expect("an operator")
+        Operator::new(self.entries[entry].port("operators"), OPERATOR_KEY)
+            .expect("an operator client")
     }
 
-    /// Returns a caller of one entry.
+    /// Returns a client of one entry for the first client account.
     pub fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.entries[entry].port("callers"), CEDARLINE)
     }
 
-    /// Returns a caller of one entry with another key.
-    pub fn caller_of(&self, entry: usize, key: &str) -> Caller {
+    /// Returns a client of one entry that authenticates with `key`.
+    pub fn caller_with_key(&self, entry: usize, key: &str) -> Caller {
         Caller::new(self.entries[entry].port("callers"), key)
     }
 
-    /// Runs an action through an entry, under an identifier if there is one.
-    pub async fn act(&self, entry: usize, action: &str, id: Option<&str>) -> Reply {
-        act(&self.caller(entry), action, id).await
+    /// Runs an action of the service through an entry, with an idempotency key if `id` is given.
+    pub async fn run_action(&self, entry: usize, action: &str, id: Option<&str>) -> Reply {
+        run_action(&self.caller(entry), action, id).await
     }
 
-    /// Sets the faults of the service.
-    pub async fn service_faults(&self, faults: Value) {
+    /// Injects faults into the service; they replace its current faults.
+    pub async fn set_service_faults(&self, faults: Value) {
         control(self.service.address(), Method::POST, "faults", &faults).await;
     }
 
-    /// Sets the faults of the platform.
-    pub async fn platform_faults(&self, faults: Value) {
+    /// Injects faults into the platform; they replace its current faults.
+    pub async fn set_platform_faults(&self, faults: Value) {
         control(self.platform.address(), Method::POST, "faults", &faults).await;
     }
 
-    /// Returns how often an action ran.
-    pub async fn runs(&self, action: &str) -> u64 {
+    /// Returns how often the service has run an action.
+    pub async fn run_count(&self, action: &str) -> u64 {
         let runs = control(self.service.address(), Method::GET, "runs", &json!({})).await;
         let runs: BTreeMap<String, u64> = serde_json::from_str(&runs).expect("counts");
         runs.get(action).copied().unwrap_or(0)
     }
 
     /// Waits until an action has run.
-    pub async fn until_run(&self, action: &str) {
+    pub async fn wait_for_run(&self, action: &str) {
         let run = async {
-            while self.runs(action).await == 0 {
+            while self.run_count(action).await == 0 {
                 tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        bounded(run, "the action has run").await;
+        with_wait_limit(run, "the action has run").await;
     }
 
-    /// Waits until the claims in the store hold a text.
-    pub async fn until_claims(&self, text: &str) {
+    /// Waits until the claims in the store contain a text.
+    pub async fn wait_for_claim(&self, text: &str) {
         let store = Caller::new(self.platform.address(), "none");
-        let held = async {
-            let mut holds = false;
-            while !holds {
+        let found = async {
+            let mut contained = false;
+            while !contained {
                 tokio::time::sleep(POLL_INTERVAL).await;
                 let claims = store.call(Method::GET, "/list?prefix=claims/", "").await;
-                holds = claims.expect("the platform answers").body.contains(text);
+                contained = claims.expect("the platform answers").body.contains(text);
             }
         };
-        bounded(held, "the store holds the claim").await;
+        with_wait_limit(found, "the store contains the claim").await;
     }
 
-    /// Returns how often the store was read and written.
+    /// Returns the numbers of reads and writes of the store.
     pub async fn store_calls(&self) -> (u64, u64) {
         let stats = control(self.platform.address(), Method::GET, "stats", &json!({})).await;
         let stats: Value = serde_json::from_str(&stats).expect("counts");
@@ -236,8 +240,8 @@
     }
 }
 
-/// Runs an action, under an identifier if there is one.
-pub async fn act(caller: &Caller, action: &str, id: Option<&str>) -> Reply {
+/// Runs an action of the service, with an idempotency key if `id` is given.
+pub async fn run_action(caller: &Caller, action: &str, id: Option<&str>) -> Reply {
     let headers: Vec<(&str, &str)> = id.map(|id| ("idempotency-key", id)).into_iter().collect();
     caller
         .call_with(Method::POST, "/s/tracker/plots/7", action, &headers)
@@ -245,17 +249,21 @@
         .expect("a reply")
 }
 
-/// Waits for a condition for a bounded time.
-async fn bounded(condition: impl Future<Output = ()>, name: &str) {
+/// Waits for a condition and fails after `WAIT_LIMIT`.
+async fn with_wait_limit(condition: impl Future<Output = ()>, name: &str) {
     let waited = tokio::time::timeout(WAIT_LIMIT, condition).await;
-    assert!(waited.is_ok(), "waited in vain until {name}");
+    assert!(
+        waited.is_ok(),
+        "timed out after {WAIT_LIMIT:?} waiting until {name}"
+    );
 }
 
-/// Returns a new identifier.
+/// Returns a new idempotency key.
 pub fn identifier() -> String {
     Uuid::now_v7().to_string()
 }
 
+/// Sends a request to the control interface of a stand-in and returns the response body.
 async fn control(address: SocketAddr, method: Method, path: &str, body: &Value) -> String {
     let caller = Caller::new(address, "none");
     let reply = caller
@@ -266,14 +274,14 @@
     reply.body
 }
 
-fn service(platform: &str, name: &str) -> Process {
+fn start_service(platform: &str, name: &str) -> Process {
     let mut arguments = vec!["service", "--platform", platform, "--name", name];
     arguments.extend(["--service", "tracker", "--failure-domain", "domain-0"]);
     arguments.extend(["--region", "region-1"]);
     Process::start(STANDIN, &arguments)
 }
 
-fn entry(folder: &Path, platform: &str, index: usize) -> Process {
+fn start_entry(folder: &Path, platform: &str, index: usize) -> Process {
     let settings = format!(
         r#"
 [entry]
@@ -296,5 +304,5 @@
     );
     let file = folder.join(format!("entry-{index}.toml"));
     fs::write(&file, settings).expect("the settings are written");
-    Process::start(DAEMON, &[file.to_str().expect("a path in UTF-8")])
+    Process::start(DAEMON, &[file.to_str().expect("a UTF-8 path")])
 }
--- a/programs/tests/processes.rs
+++ b/programs/tests/processes.rs
@@ -1,4 +1,5 @@
-//! The whole path as separate processes on loopback: entries, a platform, engines and a service.
+//! The whole request path as separate processes on loopback: entries, a platform, engines and a
+//! plain service.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -25,7 +26,7 @@
 }
 
 impl Process {
-    /// Starts a program and waits until it says where it listens.
+    /// Starts a program and waits until it prints its listening addresses.
     fn start(program: &str, arguments: &[&str]) -> Self {
         let mut child = Command::new(program)
             .args(arguments)
@@ -38,10 +39,10 @@
             .spawn()
             .expect("the program starts");
         let mut line = String::new();
-        let stdout = child.stdout.take().expect("its output is read");
+        let stdout = child.stdout.take().expect("standard output is piped");
         BufReader::new(stdout)
             .read_line(&mut line)
-            .expect("it prints a line");
+            .expect("the program prints its addresses");
         let line: serde_json::Value = serde_json::from_str(&line).expect("the line is JSON");
         Self {
             child,
@@ -50,11 +51,11 @@
     }
 
     fn address(&self) -> SocketAddr {
-        parse(&self.listening)
+        parse_address(&self.listening)
     }
 
     fn port(&self, name: &str) -> SocketAddr {
-        parse(&self.listening[name])
+        parse_address(&self.listening[name])
     }
 }
 
@@ -65,15 +66,16 @@
     }
 }
 
-fn parse(value: &serde_json::Value) -> SocketAddr {
+fn parse_address(value: &serde_json::Value) -> SocketAddr {
     value
         .as_str()
         .and_then(|text| text.parse().ok())
         .expect("an address")
 }
 
-/// Two entries, a platform, four engines and a service, in two failure domains.
-struct Path {
+/// Two entries, a platform, four engines and a service, in two failure domains, with the settings
+/// folder.
+struct Deployment {
     entries: Vec<Process>,
     engines: Vec<Process>,
     _platform: Process,
@@ -81,35 +83,35 @@
     folder: PathBuf,
 }
 
-impl Drop for Path {
+impl Drop for Deployment {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Path {
+impl Deployment {
     async fn start(test: &str) -> Self {
         let folder = std::env::temp_dir().join(format!("medlarfall-{test}-{}", std::process::id()));
         fs::create_dir_all(&folder).expect("a folder for settings");
         let platform = Process::start(STANDIN, &["platform", "--instances-lag-ms", "0"]);
         let address = platform.address().to_string();
         let engines = (0..4)
-            .map(|index| backend("engine", "briefs", &address, index))
+            .map(|index| start_backend("engine", "briefs", &address, index))
             .collect();
-        let service = backend("service", "tracker", &address, 0);
+        let service = start_backend("service", "tracker", &address, 0);
         let entries = (0..2)
-            .map(|index| entry(&folder, &address, index))
+            .map(|index| start_entry(&folder, &address, index))
             .collect();
-        let path = Self {
+        let deployment = Self {
             entries,
             engines,
             _platform: platform,
             _service: service,
             folder,
         };
-        path.declare().await;
-        path.ready().await;
-        path
+        deployment.declare().await;
+        deployment.wait_until_ready().await;
+        deployment
     }
 
     async fn declare(&self) {
@@ -122,7 +124,8 @@
         }
     }
 
-    async fn ready(&self) {
+    /// Waits until every entry knows the two services and the five backend servers.
+    async fn wait_until_ready(&self) {
         for index in 0..self.entries.len() {
             let mut operator = self.operator(index);
             loop {
@@ -140,7 +143,8 @@
     }
 
     fn operator(&self, entry: usize) -> Operator {
-        Operator::new(self.entries[entry].port("operators"), OPERATOR_KEY).expect("an operator")
+        Operator::new(self.entries[entry].port("operators"), OPERATOR_KEY)
+            .expect("an operator client")
     }
 
     fn caller(&self, entry: usize) -> Caller {
@@ -148,7 +152,7 @@
     }
 }
 
-fn backend(role: &str, service: &str, platform: &str, index: usize) -> Process {
+fn start_backend(role: &str, service: &str, platform: &str, index: usize) -> Process {
     let name = format!("{role}-{index}");
     let domain = format!("domain-{}", index % 2);
     let mut arguments = vec![
@@ -164,7 +168,7 @@
     Process::start(STANDIN, &arguments)
 }
 
-fn entry(folder: &std::path::Path, platform: &str, index: usize) -> Process {
+fn start_entry(folder: &std::path::Path, platform: &str, index: usize) -> Process {
     let settings = format!(
         r#"
 [entry]
@@ -187,7 +191,7 @@
     );
     let file = folder.join(format!("entry-{index}.toml"));
     fs::write(&file, settings).expect("the settings are written");
-    Process::start(DAEMON, &[file.to_str().expect("a path in UTF-8")])
+    Process::start(DAEMON, &[file.to_str().expect("a UTF-8 path")])
 }
 
 fn completion(prompt: &str, max_tokens: u64) -> Completion {
@@ -200,10 +204,10 @@
 }
 
 #[tokio::test]
-async fn requests_are_served_whole_in_every_failure_domain() {
-    let path = Path::start("served").await;
+async fn requests_are_served_completely_in_every_failure_domain() {
+    let deployment = Deployment::start("served").await;
     for entry in 0..2 {
-        let caller = path.caller(entry);
+        let caller = deployment.caller(entry);
         let prompt = format!("manifest of group {entry}");
         let expected = oracle::answer("v1", &prompt, 60);
         let mut stream = caller
@@ -233,23 +237,27 @@
 }
 
 #[tokio::test]
-async fn a_generation_outlives_the_engine_killed_under_it() {
-    let mut path = Path::start("killed").await;
+async fn a_generation_survives_the_death_of_its_engine() {
+    let mut deployment = Deployment::start("killed").await;
     let prompt = "history of batch 99";
     let expected = oracle::answer("v1", prompt, 200);
-    let mut stream = path
+    let mut stream = deployment
         .caller(0)
         .stream(&completion(prompt, 200))
         .await
         .expect("a stream");
     let mut text = String::new();
     for _ in 0..20 {
-        let chunk = stream.next().await.expect("a chunk").expect("more to come");
+        let chunk = stream
+            .next()
+            .await
+            .expect("a chunk")
+            .expect("another chunk");
         text.push_str(&chunk.choices[0].text);
     }
     // Engines 0 and 2 are in the entry's own failure domain: one of them serves the generation.
     for index in [0, 2] {
-        path.engines[index]
+        deployment.engines[index]
             .child
             .kill()
             .expect("the engine is killed");
@@ -260,21 +268,25 @@
 }
 
 #[tokio::test]
-async fn an_entry_told_to_terminate_ends_its_streams_first() {
-    let mut path = Path::start("terminated").await;
+async fn an_entry_that_receives_sigterm_finishes_its_streams_first() {
+    let mut deployment = Deployment::start("terminated").await;
     let prompt = "history of batch 12";
     let expected = oracle::answer("v1", prompt, 200);
-    let mut stream = path
+    let mut stream = deployment
         .caller(0)
         .stream(&completion(prompt, 200))
         .await
         .expect("a stream");
-    let first = stream.next().await.expect("a chunk").expect("more to come");
-    let pid = path.entries[0].child.id().to_string();
-    let told = Command::new("kill").args(["-TERM", &pid]).status();
-    assert!(told.expect("kill runs").success());
+    let first = stream
+        .next()
+        .await
+        .expect("a chunk")
+        .expect("another chunk");
+    let pid = deployment.entries[0].child.id().to_string();
+    let status = Command::new("kill").args(["-TERM", &pid]).status();
+    assert!(status.expect("`kill` runs").success());
     let refused = loop {
-        match path.caller(0).whole(&completion("too late", 5)).await {
+        match deployment.caller(0).whole(&completion("too late", 5)).await {
             Ok(_) => tokio::time::sleep(Duration::from_millis(20)).await,
             Err(error) => break error.to_string(),
         }
@@ -283,6 +295,9 @@
     let (rest, whole) = stream.text().await.expect("the rest of the stream");
     assert_eq!(first.choices[0].text.clone() + &rest, expected);
     assert!(whole);
-    let ended = path.entries[0].child.wait().expect("the entry ends");
+    let ended = deployment.entries[0]
+        .child
+        .wait()
+        .expect("the exit status of the entry");
     assert!(ended.success(), "{ended}");
 }
--- a/programs/tests/support/fleet.rs
+++ b/programs/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Entries, a platform and engines as separate processes, whose faults a test sets.
+//! Test support: entries, a platform stand-in and engine stand-ins as separate processes, with
+//! fault injection.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -21,14 +22,14 @@
 const DAEMON: &str = env!("CARGO_BIN_EXE_medlarfalld");
 const OPERATOR_KEY: &str = "key-of-operators";
 
-/// Key of the client account that asks.
+/// API key of the client account that sends the requests.
 pub const CALLER_KEY: &str = "key-of-cedarline";
 
-/// Key of another client account.
+/// API key of a second client account.
 pub const OTHER_KEY: &str = "key-of-siam-chalerm";
 
-/// Pause between two looks at a condition.
-const POLL: Duration = Duration::from_millis(10);
+/// Interval between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A process that is killed when the test ends.
 pub struct Process {
@@ -37,6 +38,7 @@
 }
 
 impl Process {
+    /// Starts a program and waits until it prints its listening addresses.
     fn start(program: &str, arguments: &[&str]) -> Self {
         let callers = format!("cedarline = \"{CALLER_KEY}\"\nsiam = \"{OTHER_KEY}\"");
         let mut child = Command::new(program)
@@ -50,10 +52,10 @@
             .spawn()
             .expect("the program starts");
         let mut line = String::new();
-        let stdout = child.stdout.take().expect("its output is read");
+        let stdout = child.stdout.take().expect("standard output is piped");
         BufReader::new(stdout)
             .read_line(&mut line)
-            .expect("it prints a line");
+            .expect("the program prints its addresses");
         let line: serde_json::Value = serde_json::from_str(&line).expect("the line is JSON");
         Self {
             child,
@@ -61,25 +63,25 @@
         }
     }
 
-    /// Returns the address of the only port, or of a named one.
+    /// Returns the address of the named port, or of the only port if `port` is `None`.
     pub fn address(&self, port: Option<&str>) -> SocketAddr {
         let value = port.map_or(&self.listening, |port| &self.listening[port]);
         let address = value.as_str().and_then(|text| text.parse().ok());
         address.expect("an address")
     }
 
-    /// Kills the process with SIGKILL.
+    /// Kills the process with SIGKILL and waits for its exit.
     pub fn kill(&mut self) {
         self.child.kill().expect("the process is killed");
-        self.child.wait().expect("the process has ended");
+        self.child.wait().expect("the exit status of the process");
     }
 
-    /// Sends `STOP` or `CONT`.
+    /// Sends the signal SIGSTOP or SIGCONT, named `STOP` or `CONT`.
     pub fn signal(&self, signal: &str) {
-        let sent = Command::new("kill")
+        let status = Command::new("kill")
             .args([&format!("-{signal}"), &self.child.id().to_string()])
             .status();
-        assert!(sent.expect("`kill` runs").success());
+        assert!(status.expect("`kill` runs").success());
     }
 }
 
@@ -90,7 +92,7 @@
     }
 }
 
-/// Two entries, a platform and four engines, in two failure domains.
+/// Two entries, a platform and four engines, in two failure domains, with the settings folder.
 pub struct Fleet {
     pub entries: Vec<Process>,
     pub engines: Vec<Process>,
@@ -112,46 +114,47 @@
         let platform = Process::start(STANDIN, &["platform", "--instances-lag-ms", "0"]);
         let address = platform.address(None).to_string();
         let fleet = Self {
-            engines: (0..4).map(|index| engine(&address, index)).collect(),
+            engines: (0..4).map(|index| start_engine(&address, index)).collect(),
             entries: (0..2)
-                .map(|index| entry(&folder, &address, index))
+                .map(|index| start_entry(&folder, &address, index))
                 .collect(),
             _platform: platform,
             folder,
         };
         let declared = fleet.operator(0).apply(cluster::briefs("v1")).await;
         declared.expect("the declaration is accepted");
-        fleet.ready().await;
+        fleet.wait_until_ready().await;
         fleet
     }
 
-    async fn ready(&self) {
+    /// Waits until every entry knows the declared service and the four engines.
+    async fn wait_until_ready(&self) {
         for index in 0..self.entries.len() {
             let mut operator = self.operator(index);
             loop {
-                let declared = operator.list().await.map_or(0, |services| services.len());
+                let services = operator.list().await.map_or(0, |services| services.len());
                 let status = operator.status().await;
-                let known = status.map_or(0, |status| status.backend_servers.len());
-                if declared == 1 && known == 4 {
+                let servers = status.map_or(0, |status| status.backend_servers.len());
+                if services == 1 && servers == 4 {
                     break;
                 }
-                tokio::time::sleep(POLL).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
     }
 
     fn operator(&self, entry: usize) -> Operator {
         let address = self.entries[entry].address(Some("operators"));
-        Operator::new(address, OPERATOR_KEY).expect("an operator")
+        Operator::new(address, OPERATOR_KEY).expect("an operator client")
     }
 
-    /// Returns a caller of one entry.
+    /// Returns a client of one entry that authenticates with `key`.
     pub fn caller(&self, entry: usize, key: &str) -> Caller {
         Caller::new(self.entries[entry].address(Some("callers")), key)
     }
 
-    /// Asks for a generation that may go on through every entry.
-    pub fn ask(&self, prompt: &str, max_tokens: u64) -> Answer {
+    /// Starts a generation that resumes through any entry.
+    pub fn start_generation(&self, prompt: &str, max_tokens: u64) -> Answer {
         let entries: Vec<SocketAddr> = self
             .entries
             .iter()
@@ -160,40 +163,41 @@
         Answer::new(&entries, CALLER_KEY, completion(prompt, max_tokens))
     }
 
-    /// Waits until exactly one engine other than `other` holds a generation, and returns it.
-    pub async fn serving(&self, other: Option<usize>) -> usize {
+    /// Waits until an engine other than `excluded` runs a generation, and returns its index.
+    pub async fn wait_for_serving_engine(&self, excluded: Option<usize>) -> usize {
         loop {
             for index in 0..self.engines.len() {
-                if Some(index) != other && self.live(index).await > 0 {
+                if Some(index) != excluded && self.live_generations(index).await > 0 {
                     return index;
                 }
             }
-            tokio::time::sleep(POLL).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until an engine holds no generation.
-    pub async fn free(&self, engine: usize) {
-        while self.live(engine).await > 0 {
-            tokio::time::sleep(POLL).await;
+    /// Waits until an engine runs no generation.
+    pub async fn wait_until_idle(&self, engine: usize) {
+        while self.live_generations(engine).await > 0 {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Returns the generations that an engine holds; one that does not answer holds none.
-    async fn live(&self, engine: usize) -> u64 {
-        let get = self.control(engine, "stats", None);
-        let answer = tokio::time::timeout(Duration::from_millis(200), get).await;
+    /// Returns the number of generations that an engine runs, or 0 if it does not answer in time.
+    async fn live_generations(&self, engine: usize) -> u64 {
+        let request = self.control(engine, "stats", None);
+        let answer = tokio::time::timeout(Duration::from_millis(200), request).await;
         let body = answer.ok().flatten().unwrap_or_default();
         serde_json::from_slice::<Stats>(&body).map_or(0, |stats| stats.live)
     }
 
-    /// Sets the faults of an engine.
+    /// Injects faults into an engine; they replace its current faults.
     pub async fn set_faults(&self, engine: usize, faults: &Faults) {
         let body = serde_json::to_string(faults).expect("JSON");
-        let set = self.control(engine, "faults", Some(body)).await;
-        set.expect("the engine answers");
+        let response = self.control(engine, "faults", Some(body)).await;
+        response.expect("the engine answers");
     }
 
+    /// Sends a request to the control interface of an engine and returns the response body.
     async fn control(&self, engine: usize, path: &str, body: Option<String>) -> Option<Bytes> {
         let address = self.engines[engine].address(None);
         let method = if body.is_some() { "POST" } else { "GET" };
@@ -209,7 +213,7 @@
     }
 }
 
-/// Returns a request for a generation.
+/// Returns a request for a streamed generation.
 pub fn completion(prompt: &str, max_tokens: u64) -> Completion {
     Completion {
         model: cluster::BRIEFS.to_owned(),
@@ -219,7 +223,7 @@
     }
 }
 
-fn engine(platform: &str, index: usize) -> Process {
+fn start_engine(platform: &str, index: usize) -> Process {
     let name = format!("engine-{index}");
     let domain = format!("domain-{}", index % 2);
     let mut arguments = vec!["engine", "--platform", platform, "--name", &name];
@@ -228,7 +232,7 @@
     Process::start(STANDIN, &arguments)
 }
 
-fn entry(folder: &Path, platform: &str, index: usize) -> Process {
+fn start_entry(folder: &Path, platform: &str, index: usize) -> Process {
     let settings = format!(
         r#"
 [entry]
@@ -251,5 +255,5 @@
     );
     let file = folder.join(format!("entry-{index}.toml"));
     fs::write(&file, settings).expect("the settings are written");
-    Process::start(DAEMON, &[file.to_str().expect("a path in UTF-8")])
+    Process::start(DAEMON, &[file.to_str().expect("a UTF-8 path")])
 }
--- a/programs/tests/traces.rs
+++ b/programs/tests/traces.rs
@@ -1,4 +1,5 @@
-//! One request followed over two processes by its trace: an entry and a plain service.
+//! Propagation of trace context from a caller through an entry to a plain service, as separate
+//! processes, and the spans that the entry logs.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -17,18 +18,20 @@
 const OPERATOR_KEY: &str = "key-of-operators";
 
 /// Longest wait for a span.
-const SPAN_LIMIT: Duration = Duration::from_secs(20);
+const SPAN_TIMEOUT: Duration = Duration::from_secs(20);
 
-struct Killed(Child);
+/// A process that is killed when the test ends.
+struct Process(Child);
 
-impl Drop for Killed {
+impl Drop for Process {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn start(program: &str, arguments: &[&str]) -> (Killed, serde_json::Value) {
+/// Starts a program and returns it with its listening addresses.
+fn start(program: &str, arguments: &[&str]) -> (Process, serde_json::Value) {
     let mut child = Command::new(program)
         .args(arguments)
         .env("TEST_CALLERS", "cedarline = \"key-of-cedarline\"")
@@ -40,18 +43,18 @@
         .spawn()
         .expect("the program starts");
     let mut line = String::new();
-    let stdout = child.stdout.take().expect("its output is read");
+    let stdout = child.stdout.take().expect("standard output is piped");
     BufReader::new(stdout)
         .read_line(&mut line)
-        .expect("it prints a line");
+        .expect("the program prints its addresses");
     let line: serde_json::Value = serde_json::from_str(&line).expect("the line is JSON");
-    (Killed(child), line["listening"].clone())
+    (Process(child), line["listening"].clone())
 }
 
-/// Returns the lines that a process logs, as they come.
-fn log(process: &mut Killed) -> mpsc::Receiver<serde_json::Value> {
+/// Returns a channel of the lines that a process logs.
+fn log_lines(process: &mut Process) -> mpsc::Receiver<serde_json::Value> {
     let (sender, receiver) = mpsc::channel();
-    let stderr = process.0.stderr.take().expect("its log is read");
+    let stderr = process.0.stderr.take().expect("standard error is piped");
     std::thread::spawn(move || {
         for line in BufReader::new(stderr).lines().map_while(Result::ok) {
             let value = serde_json::from_str(&line).expect("each log line is JSON");
@@ -64,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn one_request_is_followed_over_two_processes() {
+async fn the_spans_of_one_request_form_one_trace_across_two_processes() {
     let folder = std::env::temp_dir().join(format!("medlarfall-traces-{}", std::process::id()));
     fs::create_dir_all(&folder).expect("a folder for settings");
     let standin = env!("CARGO_BIN_EXE_medlarfall-standin");
@@ -94,12 +97,12 @@
         env!("CARGO_BIN_EXE_medlarfalld"),
         &[file.to_str().expect("UTF-8")],
     );
-    let lines = log(&mut entry);
+    let lines = log_lines(&mut entry);
     let operators = ports["operators"]
         .as_str()
         .and_then(|text| text.parse().ok())
         .expect("an address");
-    let mut operator = Operator::new(operators, OPERATOR_KEY).expect("an operator");
+    let mut operator = Operator::new(operators, OPERATOR_KEY).expect("an operator client");
     operator
         .apply(cluster::tracker("v1"))
         .await
@@ -124,27 +127,27 @@
         .to_bytes();
     let body: serde_json::Value = serde_json::from_slice(&body).expect("JSON");
 
-    // Spans are logged as they end, in batches whose order is not theirs: collect until all are there.
+    // Ended spans are logged in batches, in any order: collect lines until every span is present.
     let names = ["caller", "call", "queue", "attempt"];
     let mut spans = std::collections::BTreeMap::new();
     while spans.len() < names.len() {
         let line = lines
-            .recv_timeout(SPAN_LIMIT)
+            .recv_timeout(SPAN_TIMEOUT)
             .expect("the spans are logged");
         let name = line["message"].as_str().unwrap_or_default().to_owned();
         if names.contains(&name.as_str()) && line["kvs"]["trace"] == TRACE {
-            let text = |key: &str| line["kvs"][key].as_str().expect("a text").to_owned();
+            let text = |key: &str| line["kvs"][key].as_str().expect("a string").to_owned();
             spans.insert(name, (text("parent"), text("span")));
         }
     }
-    let own = |name: &str| spans[name].1.clone();
+    let span_id = |name: &str| spans[name].1.clone();
     assert_eq!(spans["caller"].0, CALLER_SPAN);
-    assert_eq!(spans["call"].0, own("caller"));
-    assert_eq!(spans["queue"].0, own("call"));
-    assert_eq!(spans["attempt"].0, own("call"));
+    assert_eq!(spans["call"].0, span_id("caller"));
+    assert_eq!(spans["queue"].0, span_id("call"));
+    assert_eq!(spans["attempt"].0, span_id("call"));
     assert_eq!(
         body["traceparent"],
-        format!("00-{TRACE}-{}-01", own("attempt"))
+        format!("00-{TRACE}-{}-01", span_id("attempt"))
     );
     let _ = fs::remove_dir_all(&folder);
 }
