--- a/programs/tests/moves.rs
+++ b/programs/tests/moves.rs
@@ -16,12 +16,13 @@
 use medlarfall_standin::{engine, oracle, platform, service};
 use tokio::task::JoinSet;
 
-/// Time that the operator gives a move.
-const WITHIN: Duration = Duration::from_secs(20);
+/// Deadline of a move, from its start.
+const MOVE_DEADLINE: Duration = Duration::from_secs(20);
 
-/// Callers at each entry.
-const CALLERS: usize = 6;
+/// Concurrent callers at each entry.
+const CALLERS_PER_ENTRY: usize = 6;
 
+/// Sets stages that are short enough for a test.
 fn adjust(_: usize, settings: &mut Settings) {
     settings.moves.plan = schedule::Plan {
         shares: vec![50, 250, 1_000],
@@ -31,8 +32,9 @@
     };
 }
 
-/// A cluster with two versions of each service.
-async fn start() -> Arc<Cluster> {
+/// Starts a cluster with two versions of each service and waits until every entry knows all
+/// servers.
+async fn start_cluster() -> Arc<Cluster> {
     let plan = Plan {
         engine: engine::Config {
             token_interval: Duration::from_millis(4),
@@ -65,16 +67,16 @@
     Arc::new(cluster)
 }
 
-/// Calls the plain service at every entry until the load is dropped.
-fn call(cluster: &Arc<Cluster>) -> JoinSet<()> {
-    call_at(cluster, cluster.entries.len())
+/// Calls the plain service at every entry until the returned tasks are dropped.
+fn call_service(cluster: &Arc<Cluster>) -> JoinSet<()> {
+    call_service_at(cluster, cluster.entries.len())
 }
 
-/// Calls the plain service at the first entries until the load is dropped.
-fn call_at(cluster: &Arc<Cluster>, entries: usize) -> JoinSet<()> {
+/// Calls the plain service at the first `entries` entries until the returned tasks are dropped.
+fn call_service_at(cluster: &Arc<Cluster>, entries: usize) -> JoinSet<()> {
     let mut load = JoinSet::new();
     let count = Arc::new(AtomicU64::new(0));
-    for index in 0..CALLERS * entries {
+    for index in 0..CALLERS_PER_ENTRY * entries {
         let caller = cluster.caller(index % entries);
         let count = Arc::clone(&count);
         load.spawn(async move {
@@ -93,10 +95,10 @@
     load
 }
 
-/// Generates at every entry until the load is dropped; counts wrong answers.
-fn generate(cluster: &Arc<Cluster>, wrong: &Arc<AtomicU64>) -> JoinSet<()> {
+/// Runs generations at every entry until the returned tasks are dropped, and counts wrong answers.
+fn run_generations(cluster: &Arc<Cluster>, wrong: &Arc<AtomicU64>) -> JoinSet<()> {
     let mut load = JoinSet::new();
-    for index in 0..CALLERS * cluster.entries.len() {
+    for index in 0..CALLERS_PER_ENTRY * cluster.entries.len() {
         let caller = cluster.caller(index % cluster.entries.len());
         let wrong = Arc::clone(wrong);
         load.spawn(async move {
@@ -109,8 +111,8 @@
                     stream: false,
                 };
                 let answer = caller.whole(&completion).await;
-                let whole = ["v1", "v2"].map(|version| oracle::answer(version, &prompt, 24));
-                if !answer.is_ok_and(|answer| whole.contains(&answer)) {
+                let expected = ["v1", "v2"].map(|version| oracle::answer(version, &prompt, 24));
+                if !answer.is_ok_and(|answer| expected.contains(&answer)) {
                     wrong.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -119,35 +121,37 @@
     load
 }
 
-/// Starts a move at entry 0 and watches it at entry 1; returns the states that the operator saw.
-async fn run(cluster: &Cluster, service: &str) -> Vec<MoveState> {
-    let mut operator = cluster.operator(0).expect("an operator");
+/// Starts a move at entry 0, watches it at entry 1 to its end, and returns the states that the
+/// operator received.
+async fn run_move(cluster: &Cluster, service: &str) -> Vec<MoveState> {
+    let mut operator = cluster.operator(0).expect("an operator client");
     let started = operator
-        .start_move(service, "v2", deadline_ms(WITHIN))
+        .start_move(service, "v2", deadline_ms(MOVE_DEADLINE))
         .await
         .expect("the move is accepted");
-    watch(cluster, service, &started.move_id).await
+    watch_move(cluster, service, &started.move_id).await
 }
 
-/// Watches a move at entry 1 to its end.
-async fn watch(cluster: &Cluster, service: &str, id: &str) -> Vec<MoveState> {
-    let mut watcher = cluster.operator(1).expect("an operator");
-    let mut states = watcher.watch_move(service, id).await.expect("a watch");
-    let mut seen = Vec::new();
-    while let Some(state) = states.message().await.expect("a state") {
-        seen.push(state);
+/// Watches a move at entry 1 to its end, which must be reported once, and returns the states
+/// received.
+async fn watch_move(cluster: &Cluster, service: &str, id: &str) -> Vec<MoveState> {
+    let mut watcher = cluster.operator(1).expect("an operator client");
+    let mut stream = watcher.watch_move(service, id).await.expect("a watch");
+    let mut states = Vec::new();
+    while let Some(state) = stream.message().await.expect("a state") {
+        states.push(state);
     }
-    let ends = seen.iter().filter(|state| ended(state)).count();
-    assert_eq!(ends, 1, "the end is told once: {seen:?}");
-    seen
+    let ends = states.iter().filter(|state| ended(state)).count();
+    assert_eq!(ends, 1, "the end must be reported once: {states:?}");
+    states
 }
 
-fn last(seen: &[MoveState]) -> &MoveState {
-    seen.last().expect("at least the end")
+fn final_state(states: &[MoveState]) -> &MoveState {
+    states.last().expect("at least the final state")
 }
 
 /// Waits until the declaration in force at every entry names a version.
-async fn declared(cluster: &Cluster, service: &str, version: &str) {
+async fn wait_for_version(cluster: &Cluster, service: &str, version: &str) {
     cluster::wait("every entry has the version declared", || {
         cluster.entries.iter().all(|entry| {
             let declarations = entry.context.declarations.borrow().clone();
@@ -162,11 +166,11 @@
 
 #[tokio::test]
 async fn a_good_version_is_done_by_the_deadline_and_declared() {
-    let cluster = start().await;
-    let load = call(&cluster);
-    let seen = run(&cluster, TRACKER).await;
-    assert_eq!(last(&seen).phase(), MovePhase::Done, "{seen:?}");
-    declared(&cluster, TRACKER, "v2").await;
+    let cluster = start_cluster().await;
+    let load = call_service(&cluster);
+    let states = run_move(&cluster, TRACKER).await;
+    assert_eq!(final_state(&states).phase(), MovePhase::Done, "{states:?}");
+    wait_for_version(&cluster, TRACKER, "v2").await;
     drop(load);
     let reply = cluster
         .caller(0)
@@ -178,36 +182,41 @@
 
 #[tokio::test]
 async fn a_good_model_is_done_without_a_wrong_answer() {
-    let cluster = start().await;
+    let cluster = start_cluster().await;
     let wrong = Arc::new(AtomicU64::new(0));
-    let load = generate(&cluster, &wrong);
-    let seen = run(&cluster, BRIEFS).await;
-    assert_eq!(last(&seen).phase(), MovePhase::Done, "{seen:?}");
-    declared(&cluster, BRIEFS, "v2").await;
+    let load = run_generations(&cluster, &wrong);
+    let states = run_move(&cluster, BRIEFS).await;
+    assert_eq!(final_state(&states).phase(), MovePhase::Done, "{states:?}");
+    wait_for_version(&cluster, BRIEFS, "v2").await;
     drop(load);
     assert_eq!(wrong.load(Ordering::Relaxed), 0);
 }
 
-async fn taken_back_engine(faults: engine::Faults) {
-    let cluster = start().await;
+/// Injects faults into the engines of the new version and expects their move to be taken back.
+async fn expect_engine_taken_back(faults: engine::Faults) {
+    let cluster = start_cluster().await;
     for engine in &cluster.engines[2..] {
         engine.engine.set_faults(faults.clone());
     }
     let wrong = Arc::new(AtomicU64::new(0));
-    let load = generate(&cluster, &wrong);
-    let seen = run(&cluster, BRIEFS).await;
-    assert_eq!(last(&seen).phase(), MovePhase::TakenBack, "{seen:?}");
+    let load = run_generations(&cluster, &wrong);
+    let states = run_move(&cluster, BRIEFS).await;
+    assert_eq!(
+        final_state(&states).phase(),
+        MovePhase::TakenBack,
+        "{states:?}"
+    );
     assert!(
-        last(&seen).reason.contains("than the old version"),
-        "{seen:?}"
+        final_state(&states).reason.contains("than the old version"),
+        "{states:?}"
     );
     drop(load);
-    declared(&cluster, BRIEFS, "v1").await;
+    wait_for_version(&cluster, BRIEFS, "v1").await;
 }
 
 #[tokio::test]
-async fn a_model_that_fails_at_once_is_taken_back() {
-    taken_back_engine(engine::Faults {
+async fn a_model_that_fails_immediately_is_taken_back() {
+    expect_engine_taken_back(engine::Faults {
         fail_every: 1,
         ..engine::Faults::default()
     })
@@ -216,7 +225,7 @@
 
 #[tokio::test]
 async fn a_model_that_fails_later_is_taken_back() {
-    taken_back_engine(engine::Faults {
+    expect_engine_taken_back(engine::Faults {
         fail_every: 2,
         after_requests: 10,
         ..engine::Faults::default()
@@ -226,73 +235,85 @@
 
 #[tokio::test]
 async fn a_model_that_is_slow_is_taken_back() {
-    taken_back_engine(engine::Faults {
+    expect_engine_taken_back(engine::Faults {
         slow_factor: 5.0,
         ..engine::Faults::default()
     })
     .await;
 }
 
-async fn taken_back_service(faults: service::Faults) -> Vec<MoveState> {
-    let cluster = start().await;
+/// Injects faults into the servers of the new version of the plain service, expects their move to
+/// be taken back, and returns its states.
+async fn expect_service_taken_back(faults: service::Faults) -> Vec<MoveState> {
+    let cluster = start_cluster().await;
     for plain in &cluster.services[1..] {
         plain.service.set_faults(faults.clone());
     }
-    let load = call(&cluster);
-    let seen = run(&cluster, TRACKER).await;
+    let load = call_service(&cluster);
+    let states = run_move(&cluster, TRACKER).await;
     drop(load);
-    assert_eq!(last(&seen).phase(), MovePhase::TakenBack, "{seen:?}");
-    declared(&cluster, TRACKER, "v1").await;
-    seen
+    assert_eq!(
+        final_state(&states).phase(),
+        MovePhase::TakenBack,
+        "{states:?}"
+    );
+    wait_for_version(&cluster, TRACKER, "v1").await;
+    states
 }
 
 #[tokio::test]
 async fn a_service_that_fails_on_one_route_is_taken_back() {
-    let seen = taken_back_service(service::Faults {
+    let states = expect_service_taken_back(service::Faults {
         fail_path: "/plots".to_owned(),
         ..service::Faults::default()
     })
     .await;
     assert!(
-        last(&seen).reason.contains("than the old version"),
-        "{seen:?}"
+        final_state(&states).reason.contains("than the old version"),
+        "{states:?}"
     );
 }
 
 #[tokio::test]
 async fn a_service_that_is_slow_is_taken_back() {
-    let seen = taken_back_service(service::Faults {
+    let states = expect_service_taken_back(service::Faults {
         slow_ms: 60,
         ..service::Faults::default()
     })
     .await;
-    assert!(last(&seen).reason.contains("calls take longer"), "{seen:?}");
+    assert!(
+        final_state(&states).reason.contains("calls take longer"),
+        "{states:?}"
+    );
 }
 
 #[tokio::test]
-async fn a_version_without_requests_returns_at_the_deadline() {
-    let cluster = start().await;
-    let mut operator = cluster.operator(0).expect("an operator");
+async fn a_version_without_requests_is_taken_back_at_the_deadline() {
+    let cluster = start_cluster().await;
+    let mut operator = cluster.operator(0).expect("an operator client");
     let started = operator
         .start_move(TRACKER, "v2", deadline_ms(Duration::from_secs(1)))
         .await
         .expect("the move is accepted");
-    let seen = watch(&cluster, TRACKER, &started.move_id).await;
-    assert_eq!(last(&seen).phase(), MovePhase::TakenBack);
-    assert!(last(&seen).reason.contains("deadline"), "{seen:?}");
+    let states = watch_move(&cluster, TRACKER, &started.move_id).await;
+    assert_eq!(final_state(&states).phase(), MovePhase::TakenBack);
+    assert!(
+        final_state(&states).reason.contains("deadline"),
+        "{states:?}"
+    );
 }
 
 #[tokio::test]
 async fn a_cancelled_move_is_taken_back_and_another_may_follow() {
-    let cluster = start().await;
-    let load = call(&cluster);
-    let mut operator = cluster.operator(0).expect("an operator");
+    let cluster = start_cluster().await;
+    let load = call_service(&cluster);
+    let mut operator = cluster.operator(0).expect("an operator client");
     let first = operator
-        .start_move(TRACKER, "v2", deadline_ms(WITHIN))
+        .start_move(TRACKER, "v2", deadline_ms(MOVE_DEADLINE))
         .await
         .expect("the move is accepted");
     let second = operator
-        .start_move(TRACKER, "v3", deadline_ms(WITHIN))
+        .start_move(TRACKER, "v3", deadline_ms(MOVE_DEADLINE))
         .await;
     let refused = second.expect_err("a second move is refused");
     assert!(refused.message().contains("cancel it first"), "{refused}");
@@ -301,11 +322,11 @@
         .await
         .expect("the move is cancelled");
     assert_eq!(cancelled.phase(), MovePhase::TakenBack);
-    let seen = watch(&cluster, TRACKER, &first.move_id).await;
-    assert_eq!(last(&seen).reason, store::CANCELLED);
-    let again = run(&cluster, TRACKER).await;
+    let states = watch_move(&cluster, TRACKER, &first.move_id).await;
+    assert_eq!(final_state(&states).reason, store::CANCELLED);
+    let again = run_move(&cluster, TRACKER).await;
     assert_eq!(
-        (last(&again).phase(), last(&again).number),
+        (final_state(&again).phase(), final_state(&again).number),
         (MovePhase::Done, 2)
     );
     drop(load);
@@ -313,21 +334,21 @@
 
 #[tokio::test]
 async fn a_bad_version_gets_no_requests_while_the_platform_is_down() {
-    let cluster = start().await;
-    let load = call(&cluster);
-    let mut operator = cluster.operator(0).expect("an operator");
+    let cluster = start_cluster().await;
+    let load = call_service(&cluster);
+    let mut operator = cluster.operator(0).expect("an operator client");
     let started = operator
-        .start_move(TRACKER, "v2", deadline_ms(WITHIN))
+        .start_move(TRACKER, "v2", deadline_ms(MOVE_DEADLINE))
         .await
         .expect("the move is accepted");
     let known = |wanted: fn(&MovePhase) -> bool| {
         let cluster = Arc::clone(&cluster);
-        move || cluster.entries.iter().all(|entry| phase(entry, wanted))
+        move || cluster.entries.iter().all(|entry| in_phase(entry, wanted))
     };
     let moving = known(|phase| *phase == MovePhase::Stage);
-    cluster::wait("every entry moves", moving)
+    cluster::wait("every entry knows the stage of the move", moving)
         .await
-        .expect("moving");
+        .expect("every entry knows the stage of the move");
     cluster.platform.set_faults(platform::Faults {
         down: true,
         ..platform::Faults::default()
@@ -341,7 +362,7 @@
     let braked = known(|phase| *phase == MovePhase::Braked);
     cluster::wait("every entry has braked", braked)
         .await
-        .expect("braked");
+        .expect("the move is braked");
     for entry in &cluster.entries {
         let record = entry.context.moves.last(TRACKER).expect("a move");
         let reason = format!("{:?}", record.phase);
@@ -351,17 +372,21 @@
     let recorded = recorded.expect("a record").value;
     assert!(
         recorded.contains("stage"),
-        "nothing is recorded yet: {recorded}"
+        "the record in the store is no longer in a stage: {recorded}"
     );
     cluster.platform.set_faults(platform::Faults::default());
-    let seen = watch(&cluster, TRACKER, &started.move_id).await;
-    assert_eq!(last(&seen).phase(), MovePhase::TakenBack, "{seen:?}");
+    let states = watch_move(&cluster, TRACKER, &started.move_id).await;
+    assert_eq!(
+        final_state(&states).phase(),
+        MovePhase::TakenBack,
+        "{states:?}"
+    );
     drop(load);
 }
 
 #[tokio::test]
 async fn a_brake_reaches_an_entry_without_requests_while_the_platform_is_down() {
-    let cluster = start().await;
+    let cluster = start_cluster().await;
     cluster::wait("the entries know each other", || {
         let knows = |entry: &medlarfall_serving::entry::Entry| {
             entry.context.membership.view().borrow().up().count() == 1
@@ -370,17 +395,17 @@
     })
     .await
     .expect("the entries know each other");
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     operator
         .start_move(TRACKER, "v2", deadline_ms(Duration::from_mins(2)))
         .await
         .expect("the move is accepted");
-    cluster::wait("every entry moves", || {
+    cluster::wait("every entry knows the stage of the move", || {
         let moving = |phase: &MovePhase| *phase == MovePhase::Stage;
-        cluster.entries.iter().all(|entry| phase(entry, moving))
+        cluster.entries.iter().all(|entry| in_phase(entry, moving))
     })
     .await
-    .expect("moving");
+    .expect("every entry knows the stage of the move");
     cluster.platform.set_faults(platform::Faults {
         down: true,
         ..platform::Faults::default()
@@ -391,17 +416,17 @@
             ..service::Faults::default()
         });
     }
-    let load = call_at(&cluster, 1);
+    let load = call_service_at(&cluster, 1);
     cluster::wait("the entry without requests has braked", || {
-        phase(&cluster.entries[1], |phase| *phase == MovePhase::Braked)
+        in_phase(&cluster.entries[1], |phase| *phase == MovePhase::Braked)
     })
     .await
-    .expect("braked");
+    .expect("the move is braked");
     drop(load);
 }
 
-/// Returns whether the last move of the plain service is in a phase at an entry.
-fn phase(entry: &medlarfall_serving::entry::Entry, wanted: fn(&MovePhase) -> bool) -> bool {
+/// Returns whether an entry sees the last move of the plain service in a wanted phase.
+fn in_phase(entry: &medlarfall_serving::entry::Entry, wanted: fn(&MovePhase) -> bool) -> bool {
     use medlarfall_coordination::rollout::Phase;
     let Some(record) = entry.context.moves.last(TRACKER) else {
         return false;
@@ -415,26 +440,26 @@
 }
 
 #[tokio::test]
-async fn a_dead_server_of_a_good_version_does_not_take_it_back() {
-    let cluster = start().await;
-    let load = call(&cluster);
-    let mut operator = cluster.operator(0).expect("an operator");
+async fn a_good_version_is_not_taken_back_when_one_of_its_servers_dies() {
+    let cluster = start_cluster().await;
+    let load = call_service(&cluster);
+    let mut operator = cluster.operator(0).expect("an operator client");
     let started = operator
-        .start_move(TRACKER, "v2", deadline_ms(WITHIN))
+        .start_move(TRACKER, "v2", deadline_ms(MOVE_DEADLINE))
         .await
         .expect("the move is accepted");
     cluster.services[1].service.life().die();
-    let seen = watch(&cluster, TRACKER, &started.move_id).await;
-    assert_eq!(last(&seen).phase(), MovePhase::Done, "{seen:?}");
+    let states = watch_move(&cluster, TRACKER, &started.move_id).await;
+    assert_eq!(final_state(&states).phase(), MovePhase::Done, "{states:?}");
     drop(load);
 }
 
 #[tokio::test]
-async fn racing_entries_record_one_end_also_when_answers_are_lost() {
-    let cluster = start().await;
-    let mut operator = cluster.operator(0).expect("an operator");
+async fn concurrent_entries_record_one_end_when_store_answers_are_lost() {
+    let cluster = start_cluster().await;
+    let mut operator = cluster.operator(0).expect("an operator client");
     let started = operator
-        .start_move(TRACKER, "v2", deadline_ms(WITHIN))
+        .start_move(TRACKER, "v2", deadline_ms(MOVE_DEADLINE))
         .await
         .expect("the move is accepted");
     let key = format!("{PREFIX}{TRACKER}");
@@ -452,15 +477,21 @@
     });
     let ahead = record.clone().advance().advance().advance();
     let braked = record.brake("it fails more often than the old version");
-    let (first, second) = (store(0), store(1));
-    let (done, back) = tokio::join!(store::write(&first, &ahead), store::write(&second, &braked));
-    let (done, back) = (done.expect("settled"), back.expect("settled"));
-    assert_eq!(done, back);
-    assert!(done.phase.ended());
-    let seen = watch(&cluster, TRACKER, &started.move_id).await;
-    let expected = match done.phase {
+    let (store_0, store_1) = (store(0), store(1));
+    let (first, second) = tokio::join!(
+        store::write(&store_0, &ahead),
+        store::write(&store_1, &braked)
+    );
+    let (first, second) = (
+        first.expect("the write is settled"),
+        second.expect("the write is settled"),
+    );
+    assert_eq!(first, second);
+    assert!(first.phase.ended());
+    let states = watch_move(&cluster, TRACKER, &started.move_id).await;
+    let expected = match first.phase {
         medlarfall_coordination::rollout::Phase::Done => MovePhase::Done,
         _ => MovePhase::TakenBack,
     };
-    assert_eq!(last(&seen).phase(), expected);
+    assert_eq!(final_state(&states).phase(), expected);
 }
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines over the stand-ins: locks, lost answers, pauses, with and without fencing.
+//! Orders to engine stand-ins, with and without fencing: locks, lost answers of the store and
+//! paused engines.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,9 +15,12 @@
 use medlarfall_standin::engine::Config;
 use medlarfall_standin::platform::Faults;
 
-const TIMEOUT: Duration = Duration::from_millis(300);
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Timeout of one order to an engine.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(300);
+/// Longest wait for the lock of a server.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(5);
 
+/// Starts one entry and one engine, which enforces fencing or not.
 async fn cluster(fencing: bool) -> Cluster {
     let engine = Config {
         fencing,
@@ -27,24 +31,26 @@
         engines: 1,
         entries: 1,
         engine,
-        adjust: |_, settings| settings.orders.policy.order_timeout = TIMEOUT,
+        adjust: |_, settings| settings.orders.policy.order_timeout = ORDER_TIMEOUT,
         ..Plan::default()
     })
     .await
     .expect("a cluster")
 }
 
+/// Returns the only engine as a backend server.
 fn server(cluster: &Cluster) -> Server {
     let instance = serde_json::to_value(&cluster.engines[0].instance).expect("JSON");
     let instance: platform::Instance = serde_json::from_value(instance).expect("an instance");
     Server::try_from(instance).expect("a server")
 }
 
-fn way(cluster: &Cluster) -> Way<platform::http::Client, Client> {
+/// Returns what the entry needs to give orders, with at most three attempts per order.
+fn dependencies(cluster: &Cluster) -> Way<platform::http::Client, Client> {
     let context = &cluster.entries[0].context;
     let mut settings = context.settings.orders;
     settings.policy = Policy {
-        order_timeout: TIMEOUT,
+        order_timeout: ORDER_TIMEOUT,
         attempts: 3,
     };
     Way {
@@ -63,7 +69,7 @@
 #[tokio::test]
 async fn an_operator_orders_an_engine_to_load_and_to_drain() {
     let cluster = cluster(true).await;
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     let order = OrderRequest {
         server: "engine-0".to_owned(),
         versions: vec!["v1".to_owned(), "v2".to_owned()],
@@ -73,11 +79,14 @@
     let state = operator
         .order(order.clone())
         .await
-        .expect("it is carried out");
+        .expect("the order is carried out");
     assert_eq!(state.versions, ["v1", "v2"]);
     assert!(state.draining && state.fencing > 0);
-    // Repeating an order is harmless.
-    let again = operator.order(order).await.expect("it is carried out");
+    // A repeated order has no further effect.
+    let again = operator
+        .order(order)
+        .await
+        .expect("the order is carried out");
     assert_eq!((again.versions, again.draining), (state.versions, true));
     for (server, remedy) in [
         ("engine-9", "check the name"),
@@ -96,126 +105,144 @@
 async fn an_order_of_an_old_holder_is_refused_by_a_server_that_enforces_fencing() {
     let cluster = cluster(true).await;
     let server = server(&cluster);
-    let way = way(&cluster);
-    let first = orders::give(&way, &server, &drain(true), true, PATIENCE).await;
-    let old = first.expect("it is carried out").fencing;
-    let second = orders::give(&way, &server, &drain(false), true, PATIENCE).await;
-    let newer = second.expect("it is carried out").fencing;
+    let dependencies = dependencies(&cluster);
+    let first = orders::give(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
+    let old = first.expect("the order is carried out").fencing;
+    let second = orders::give(&dependencies, &server, &drain(false), true, LOCK_TIMEOUT).await;
+    let newer = second.expect("the order is carried out").fencing;
     assert!(newer > old, "{newer} > {old}");
     let late = Order {
         fencing: old,
         drain: Some(true),
         ..Order::default()
     };
-    let late = way.engine.order(&server, &late).await;
+    let late = dependencies.engine.order(&server, &late).await;
     assert_eq!(late, Ok(OrderResponse::Fenced));
-    let state = way.engine.order_state(&server).await.expect("its state");
-    assert!(!state.draining, "the newer order stands");
+    let state = dependencies
+        .engine
+        .order_state(&server)
+        .await
+        .expect("the state of the engine");
+    assert!(!state.draining, "the newer order must stay in force");
 }
 
 #[tokio::test]
-async fn a_holder_waits_until_the_lease_of_the_one_before_has_ended() {
+async fn a_holder_waits_until_the_lease_of_the_previous_holder_has_ended() {
     for fencing in [true, false] {
         let cluster = cluster(fencing).await;
         let server = server(&cluster);
-        let way = way(&cluster);
-        let lease = way.store.grant(TIMEOUT * 2).await.expect("a lease");
-        let held = way
+        let dependencies = dependencies(&cluster);
+        let lease = dependencies
+            .store
+            .grant(ORDER_TIMEOUT * 2)
+            .await
+            .expect("a lease");
+        let held = dependencies
             .store
             .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
             .await
             .expect("the lock");
-        let given = orders::give(&way, &server, &drain(true), fencing, PATIENCE).await;
-        let state = given.expect("it is carried out");
+        let given = orders::give(&dependencies, &server, &drain(true), fencing, LOCK_TIMEOUT).await;
+        let state = given.expect("the order is carried out");
         assert!(state.draining);
         assert!(state.fencing > held, "{} > {held}", state.fencing);
     }
 }
 
 #[tokio::test]
-async fn the_lock_of_another_is_respected_and_the_remedy_named() {
+async fn no_order_is_sent_under_the_lock_of_another_holder_and_the_remedy_is_named() {
     let cluster = cluster(false).await;
     let server = server(&cluster);
-    let way = way(&cluster);
-    let lease = way.store.grant(Duration::from_mins(1)).await;
+    let dependencies = dependencies(&cluster);
+    let lease = dependencies.store.grant(Duration::from_mins(1)).await;
     let lease = lease.expect("a lease");
-    way.store
+    dependencies
+        .store
         .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
         .await
         .expect("the lock");
-    let given = orders::give(&way, &server, &drain(true), false, Duration::ZERO).await;
-    let message = given.expect_err("no lock").to_string();
+    let given = orders::give(&dependencies, &server, &drain(true), false, Duration::ZERO).await;
+    let message = given.expect_err("another holder has the lock").to_string();
     assert!(message.contains("the other holder is done"), "{message}");
-    let state = way.engine.order_state(&server).await.expect("its state");
-    assert!(!state.draining, "no order was sent");
+    let state = dependencies
+        .engine
+        .order_state(&server)
+        .await
+        .expect("the state of the engine");
+    assert!(!state.draining, "an order was sent without the lock");
 }
 
 #[tokio::test]
-async fn lost_answers_of_the_store_are_settled() {
+async fn an_order_is_carried_out_when_answers_of_the_store_are_lost() {
     for lost in 1..5 {
         let cluster = cluster(false).await;
         let server = server(&cluster);
-        let way = way(&cluster);
+        let dependencies = dependencies(&cluster);
         cluster.platform.set_faults(Faults {
             drop_answers: lost,
             ..Faults::default()
         });
-        let given = orders::give(&way, &server, &drain(true), false, PATIENCE).await;
-        assert!(given.expect("it is carried out").draining);
+        let given = orders::give(&dependencies, &server, &drain(true), false, LOCK_TIMEOUT).await;
+        assert!(given.expect("the order is carried out").draining);
     }
 }
 
 #[tokio::test]
-async fn two_holders_with_contrary_orders_end_in_the_order_of_the_later_lock() {
+async fn concurrent_holders_with_contrary_orders_each_see_their_own_order_carried_out() {
     for fencing in [true, false] {
         let cluster = cluster(fencing).await;
         let server = Arc::new(server(&cluster));
-        let way = Arc::new(way(&cluster));
+        let dependencies = Arc::new(dependencies(&cluster));
         let holders: Vec<_> = (0..6)
             .map(|index| {
-                let (way, server) = (Arc::clone(&way), Arc::clone(&server));
+                let (dependencies, server) = (Arc::clone(&dependencies), Arc::clone(&server));
                 tokio::spawn(async move {
                     let desired = drain(index % 2 == 0);
-                    let patience = Duration::from_secs(20);
-                    let given = orders::give(&way, &server, &desired, fencing, patience).await;
+                    let lock_timeout = Duration::from_secs(20);
+                    let given =
+                        orders::give(&dependencies, &server, &desired, fencing, lock_timeout).await;
                     given.map(|state| (state.fencing, state.draining, desired.drain))
                 })
             })
             .collect();
         for holder in futures::future::join_all(holders).await {
-            let (_, draining, desired) = holder.expect("no panic").expect("it is carried out");
-            // Nobody else ordered while this holder had the lock.
+            let (_, draining, desired) =
+                holder.expect("no panic").expect("the order is carried out");
+            // No other holder gave an order while this one had the lock.
             assert_eq!(Some(draining), desired);
         }
     }
 }
 
 #[tokio::test]
-async fn an_engine_that_is_paused_is_not_reported_as_obeying() {
+async fn an_order_to_a_paused_engine_is_reported_as_failed() {
     let cluster = cluster(true).await;
     let server = server(&cluster);
-    let way = way(&cluster);
+    let dependencies = dependencies(&cluster);
     cluster.engines[0]
         .engine
         .life()
         .pause(Duration::from_mins(1));
-    let given = orders::give(&way, &server, &drain(true), true, PATIENCE).await;
-    let message = given.expect_err("it does not answer").to_string();
+    let given = orders::give(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
+    let message = given.expect_err("the engine does not answer").to_string();
     assert!(message.contains("order again"), "{message}");
 }
 
 #[tokio::test]
-async fn a_declaration_says_whether_a_server_enforces_fencing() {
+async fn a_declaration_states_whether_a_server_enforces_fencing() {
     let cluster = cluster(true).await;
     let context = &cluster.entries[0].context;
     let server = server(&cluster);
     assert!(!context.enforces_fencing(&server));
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     let mut services = operator.list().await.expect("the declarations");
     services.retain(|service| service.name == BRIEFS);
     let mut declared = services.pop().unwrap_or_else(|| briefs("v1"));
     declared.fencing = true;
-    operator.apply(declared).await.expect("it is accepted");
+    operator
+        .apply(declared)
+        .await
+        .expect("the declaration is accepted");
     medlarfall::cluster::wait("the declaration is in force", || {
         context.enforces_fencing(&server)
     })
--- a/programs/tests/stops.rs
+++ b/programs/tests/stops.rs
@@ -1,4 +1,5 @@
-//! Planned stops on an embedded cluster: no request is cut, no late work reaches the leaving server.
+//! Planned stops on an embedded cluster: no request is cut off, and a leaving server receives no
+//! new work.
 
 use std::time::Duration;
 
@@ -13,8 +14,10 @@
 use medlarfall_standin::{oracle, platform};
 
 /// Tokens of a generation that outlasts every stop of these tests.
-const LONG: u64 = 900;
+const LONG_TOKENS: u64 = 900;
 
+/// Returns the plan of a cluster with a short lead before a stop and a long window for leaving
+/// entries.
 fn plan(engines: usize) -> Plan {
     Plan {
         engines,
@@ -26,6 +29,7 @@
     }
 }
 
+/// Returns a stop of a target after a notice.
 fn stop(target: &str, notice: Duration) -> Stop {
     Stop {
         target: target.to_owned(),
@@ -48,7 +52,7 @@
 }
 
 /// Starts generations at every entry in turn.
-fn generations(
+fn start_generations(
     cluster: &Cluster,
     count: usize,
     max_tokens: u64,
@@ -62,7 +66,7 @@
 }
 
 /// Waits until every generation has ended and returns how many were wrong.
-async fn wrong(generations: Vec<tokio::task::JoinHandle<bool>>) -> usize {
+async fn count_wrong(generations: Vec<tokio::task::JoinHandle<bool>>) -> usize {
     let answers = join_all(generations).await;
     answers
         .into_iter()
@@ -71,7 +75,7 @@
 }
 
 /// Waits until the engines run this many generations.
-async fn running(cluster: &Cluster, count: u64) {
+async fn wait_until_running(cluster: &Cluster, count: u64) {
     wait("the generations run", || {
         let live = cluster
             .engines
@@ -83,25 +87,28 @@
     .expect("the generations run");
 }
 
-/// Returns what orders have made of an engine.
-async fn state(cluster: &Cluster, engine: usize) -> OrderState {
+/// Returns the state of an engine that results from its orders.
+async fn order_state(cluster: &Cluster, engine: usize) -> OrderState {
     let instance = serde_json::to_value(&cluster.engines[engine].instance).expect("JSON");
     let instance: medlarfall_serving::platform::Instance =
         serde_json::from_value(instance).expect("an instance");
     let server = Server::try_from(instance).expect("a server");
-    Client::new().order_state(&server).await.expect("its state")
+    Client::new()
+        .order_state(&server)
+        .await
+        .expect("the state of the engine")
 }
 
-/// Waits until an engine was told to drain, or that it may work again.
-async fn draining(cluster: &Cluster, engine: usize, drains: bool) {
-    let told = async {
-        while state(cluster, engine).await.draining != drains {
+/// Waits until an engine drains, or no longer drains if `drains` is false.
+async fn wait_for_draining(cluster: &Cluster, engine: usize, drains: bool) {
+    let reached = async {
+        while order_state(cluster, engine).await.draining != drains {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(Duration::from_secs(5), told)
+    tokio::time::timeout(Duration::from_secs(5), reached)
         .await
-        .expect("the engine is told within 5 s");
+        .expect("the engine drains or stops draining within 5 s");
 }
 
 #[tokio::test]
@@ -111,12 +118,12 @@
         cut_off: vec!["entry-1".to_owned()],
         ..platform::Faults::default()
     });
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     operator
         .plan_stop(stop("server/engine-1", Duration::from_mins(10)))
         .await
         .expect("the stop is accepted");
-    draining(&cluster, 1, true).await;
+    wait_for_draining(&cluster, 1, true).await;
     let before = cluster.engines[1].engine.stats().requests;
     let generations: Vec<_> = (0..8)
         .map(|index| {
@@ -124,17 +131,17 @@
             tokio::spawn(generate(cluster.caller(1), prompt, 20))
         })
         .collect();
-    let wrong = tokio::time::timeout(Duration::from_secs(15), wrong(generations)).await;
+    let wrong = tokio::time::timeout(Duration::from_secs(15), count_wrong(generations)).await;
     assert_eq!(
         wrong,
         Ok(0),
-        "a cut-off entry serves on the engines that stay"
+        "the entry that is cut off must serve all generations on the remaining engines"
     );
     assert_eq!(cluster.engines[1].engine.stats().requests, before);
 }
 
 #[tokio::test]
-async fn an_entry_cut_off_from_the_store_learns_of_a_stop_from_a_peer() {
+async fn an_entry_cut_off_from_the_store_receives_a_stop_from_a_peer() {
     let cluster = Cluster::start(plan(4)).await.expect("a cluster");
     wait("the entries know each other", || {
         cluster.entries.iter().all(|entry| {
@@ -147,15 +154,15 @@
     let generations: Vec<_> = (0..6)
         .map(|index| {
             let prompt = format!("cut off {index}");
-            tokio::spawn(generate(cluster.caller(1), prompt, LONG))
+            tokio::spawn(generate(cluster.caller(1), prompt, LONG_TOKENS))
         })
         .collect();
-    running(&cluster, 6).await;
+    wait_until_running(&cluster, 6).await;
     cluster.platform.set_faults(platform::Faults {
         cut_off: vec!["entry-1".to_owned()],
         ..platform::Faults::default()
     });
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     // The first change ends the watch that the entry had begun before it was cut off.
     for target in ["entry/entry-9", "server/engine-1"] {
         operator
@@ -169,35 +176,35 @@
         known == 2
     })
     .await
-    .expect("it is told");
-    assert_eq!(wrong(generations).await, 0);
+    .expect("the entry has received the stop");
+    assert_eq!(count_wrong(generations).await, 0);
 }
 
 #[tokio::test]
-async fn an_engine_is_told_to_drain_though_the_entry_that_accepted_its_stop_is_lost() {
+async fn an_engine_is_ordered_to_drain_after_the_entry_that_accepted_its_stop_has_died() {
     let cluster = Cluster::start(plan(4)).await.expect("a cluster");
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     operator
         .plan_stop(stop("server/engine-1", Duration::from_mins(10)))
         .await
         .expect("the stop is accepted");
     cluster.entries[0].kill();
-    draining(&cluster, 1, true).await;
-    let mut operator = cluster.operator(1).expect("an operator");
+    wait_for_draining(&cluster, 1, true).await;
+    let mut operator = cluster.operator(1).expect("an operator client");
     operator
         .cancel_stop("server/engine-1")
         .await
-        .expect("it is cancelled");
-    draining(&cluster, 1, false).await;
+        .expect("the stop is cancelled");
+    wait_for_draining(&cluster, 1, false).await;
 }
 
 #[tokio::test]
 async fn an_engine_stops_without_cutting_long_generations() {
     let cluster = Cluster::start(plan(4)).await.expect("a cluster");
-    let generations = generations(&cluster, 12, LONG);
-    running(&cluster, 12).await;
+    let generations = start_generations(&cluster, 12, LONG_TOKENS);
+    wait_until_running(&cluster, 12).await;
     let leaving = &cluster.engines[0].engine;
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     operator
         .plan_stop(stop("server/engine-0", Duration::from_secs(4)))
         .await
@@ -207,26 +214,32 @@
         .await
         .expect("a watch");
     let mut finished = 0;
-    let mut most = 0;
+    let mut max_reported = 0;
     while let Some(progress) = watch.message().await.expect("progress") {
         finished += u64::from(progress.state() == StopState::Finished);
-        most = most.max(progress.holders[0].reported);
+        max_reported = max_reported.max(progress.holders[0].reported);
         assert!(
             progress.state() != StopState::Finished || leaving.stats().live == 0,
-            "finished while the engine still runs something"
+            "the stop finished while the engine still runs a generation"
         );
     }
     assert_eq!(finished, 1);
-    assert!(most > 0, "the operator saw what held the engine");
+    assert!(
+        max_reported > 0,
+        "the operator received no report of running generations"
+    );
     leaving.life().die();
-    assert_eq!(wrong(generations).await, 0);
+    assert_eq!(count_wrong(generations).await, 0);
     let metrics = || cluster.entries.iter().map(|entry| &entry.context.metrics);
     let lost: u64 = metrics().map(|metrics| metrics.attempts_lost.get()).sum();
     let moved: u64 = metrics()
         .map(|metrics| metrics.generations_moved.get())
         .sum();
-    assert_eq!(lost, 0, "generations were moved, not lost");
-    assert!(moved > 0, "generations were moved");
+    assert_eq!(
+        lost, 0,
+        "attempts were lost; expected only moved generations"
+    );
+    assert!(moved > 0, "no generation was moved");
 }
 
 #[tokio::test]
@@ -237,9 +250,9 @@
     })
     .await
     .expect("a cluster");
-    let generations = generations(&cluster, 9, 600);
-    running(&cluster, 9).await;
-    let mut operator = cluster.operator(1).expect("an operator");
+    let generations = start_generations(&cluster, 9, 600);
+    wait_until_running(&cluster, 9).await;
+    let mut operator = cluster.operator(1).expect("an operator client");
     operator
         .plan_stop(stop("failure-domain/domain-0", Duration::from_secs(12)))
         .await
@@ -250,17 +263,17 @@
     .await
     .expect("the entries leave");
     assert!(!cluster.entries[1].context.stops.leaving());
-    assert_eq!(wrong(generations).await, 0);
+    assert_eq!(count_wrong(generations).await, 0);
     for index in [0, 2] {
         assert_eq!(cluster.engines[index].engine.stats().live, 0);
     }
 }
 
 #[tokio::test]
-async fn an_entry_that_leaves_ends_its_streams_and_refuses_new_requests() {
+async fn a_leaving_entry_finishes_its_streams_and_refuses_new_requests() {
     let cluster = Cluster::start(plan(2)).await.expect("a cluster");
-    let generations = generations(&cluster, 4, 300);
-    running(&cluster, 4).await;
+    let generations = start_generations(&cluster, 4, 300);
+    wait_until_running(&cluster, 4).await;
     let entry = cluster.entries[0].clone();
     let leaving = tokio::spawn(async move { entry.leave().await });
     wait("the entry leaves", || {
@@ -278,12 +291,12 @@
     let message = refused.expect_err("a refusal").to_string();
     assert!(message.contains("\"run\":\"not-run\""), "{message}");
     assert!(message.contains("another entry"), "{message}");
-    assert_eq!(wrong(generations).await, 0);
-    assert!(leaving.await.expect("the entry left"));
+    assert_eq!(count_wrong(generations).await, 0);
+    assert!(leaving.await.expect("the task of the leaving entry ends"));
 }
 
 #[tokio::test]
-async fn callers_of_an_entry_whose_window_ends_are_sent_elsewhere() {
+async fn callers_of_an_entry_whose_window_ends_are_referred_to_another_entry() {
     let cluster = Cluster::start(Plan {
         adjust: |_, settings| settings.stops.entry_window = Duration::from_millis(500),
         ..plan(2)
@@ -293,7 +306,7 @@
     let completion = Completion {
         model: BRIEFS.to_owned(),
         prompt: "a long ledger".to_owned(),
-        max_tokens: LONG,
+        max_tokens: LONG_TOKENS,
         stream: true,
     };
     let mut stream = cluster
@@ -301,20 +314,24 @@
         .stream(&completion)
         .await
         .expect("a stream");
-    stream.next().await.expect("a chunk").expect("more to come");
+    stream
+        .next()
+        .await
+        .expect("a chunk")
+        .expect("another chunk");
     let entry = cluster.entries[0].clone();
     let leaving = tokio::spawn(async move { entry.leave().await });
     let error = stream.text().await.expect_err("the entry leaves");
     assert!(error.to_string().contains("go to another entry"), "{error}");
-    assert!(!leaving.await.expect("the entry left"));
+    assert!(!leaving.await.expect("the task of the leaving entry ends"));
 }
 
 #[tokio::test]
-async fn a_stop_holds_while_the_store_is_down_after_acceptance() {
+async fn an_accepted_stop_takes_effect_while_the_store_is_down() {
     let cluster = Cluster::start(plan(4)).await.expect("a cluster");
-    let generations = generations(&cluster, 8, LONG);
-    running(&cluster, 8).await;
-    let mut operator = cluster.operator(0).expect("an operator");
+    let generations = start_generations(&cluster, 8, LONG_TOKENS);
+    wait_until_running(&cluster, 8).await;
+    let mut operator = cluster.operator(0).expect("an operator client");
     operator
         .plan_stop(stop("server/engine-0", Duration::from_secs(3)))
         .await
@@ -323,26 +340,29 @@
         down: true,
         ..platform::Faults::default()
     });
-    wait("the engine is left", || {
+    wait("the engine runs no generation", || {
         cluster.engines[0].engine.stats().live == 0
     })
     .await
-    .expect("the engine is left");
+    .expect("the engine runs no generation");
     cluster.engines[0].engine.life().die();
-    assert_eq!(wrong(generations).await, 0);
+    assert_eq!(count_wrong(generations).await, 0);
 }
 
 #[tokio::test]
-async fn a_cancelled_stop_gives_the_server_new_work_again() {
+async fn a_server_receives_work_again_after_its_stop_is_cancelled() {
     let cluster = Cluster::start(plan(1)).await.expect("a cluster");
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     let target = "server/engine-0";
     operator
         .plan_stop(stop(target, Duration::from_mins(10)))
         .await
         .expect("the stop is accepted");
     let mut watch = operator.watch_stop(target).await.expect("a watch");
-    operator.cancel_stop(target).await.expect("it is cancelled");
+    operator
+        .cancel_stop(target)
+        .await
+        .expect("the stop is cancelled");
     let mut last = StopState::Unspecified;
     while let Some(progress) = watch.message().await.expect("progress") {
         last = progress.state();
@@ -352,9 +372,9 @@
 }
 
 #[tokio::test]
-async fn a_stop_that_cannot_be_planned_names_the_remedy() {
+async fn an_invalid_stop_is_refused_with_the_remedy() {
     let cluster = Cluster::start(plan(1)).await.expect("a cluster");
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     let notice = Duration::from_mins(10);
     for (target, remedy) in [
         ("engine-0", "write `server/NAME`"),
@@ -369,15 +389,15 @@
     operator
         .plan_stop(accepted.clone())
         .await
-        .expect("accepted");
+        .expect("the stop is accepted");
     let refused = operator.plan_stop(accepted).await.expect_err("a conflict");
     assert!(refused.message().contains("revision 1"), "{refused}");
     operator
         .plan_stop(stop("entry/entry-1", notice))
         .await
-        .expect("accepted");
+        .expect("the stop is accepted");
     let elsewhere = operator.watch_stop("entry/entry-1").await;
-    let elsewhere = elsewhere.expect_err("another entry is asked");
+    let elsewhere = elsewhere.expect_err("a refusal by an entry that is not the target");
     assert!(elsewhere.message().contains("at that entry"), "{elsewhere}");
     let absent = operator.cancel_stop("entry/entry-9").await;
     let absent = absent.expect_err("nothing to cancel");
