--- a/programs/tests/callers.rs
+++ b/programs/tests/callers.rs
@@ -1,4 +1,5 @@
-//! What callers and strangers are told when their requests cannot be used.
+//! Refusals by the callers' and operators' ports: invalid, oversized and slow requests, too many
+//! connections, and wrong keys.
 
 use std::time::Duration;
 
@@ -9,13 +10,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Largest body of the tests' entries, in bytes.
+/// Body limit of the entries under test, in bytes.
 const BODY_LIMIT: usize = 4_096;
 
-/// Longest time to send a request to the tests' entries.
+/// Time within which the entries under test must have received a request.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Longest wait for an answer or the end of a connection.
+/// Longest wait for the end of a connection.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 async fn cluster() -> Cluster {
@@ -31,20 +32,20 @@
     Cluster::start(plan).await.expect("the cluster is up")
 }
 
-/// Sends bytes on a connection of their own and returns all that comes back.
-async fn raw(cluster: &Cluster, bytes: &[u8]) -> String {
+/// Sends bytes on a new connection and returns everything received until the entry closes it.
+async fn send_raw(cluster: &Cluster, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(cluster.entries[0].addresses.callers)
         .await
         .expect("a connection");
     stream.write_all(bytes).await.expect("the bytes are sent");
     let mut answer = Vec::new();
     let read = tokio::time::timeout(WAIT_LIMIT, stream.read_to_end(&mut answer)).await;
-    let _ = read.expect("the entry ends the connection");
+    let _ = read.expect("the entry closes the connection");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
 /// Checks that the entry still serves another caller.
-async fn still_serves(cluster: &Cluster) {
+async fn expect_other_callers_served(cluster: &Cluster) {
     let read = cluster
         .caller(0)
         .call(Method::GET, &format!("/s/{TRACKER}/plots/1"), "")
@@ -53,20 +54,20 @@
 }
 
 #[tokio::test]
-async fn a_request_that_cannot_be_used_gets_a_typed_error_and_harms_nothing() {
+async fn an_invalid_request_gets_a_typed_error_and_does_not_affect_other_callers() {
     let cluster = cluster().await;
     let long = "x".repeat(BODY_LIMIT + 1);
     let cases = [
-        ("bad JSON", "{", 400, "bad_request"),
-        ("another shape", "{\"model\":7}", 400, "bad_request"),
+        ("malformed JSON", "{", 400, "bad_request"),
+        ("wrong type of a field", "{\"model\":7}", 400, "bad_request"),
         (
-            "no such model",
+            "unknown model",
             "{\"model\":\"none\",\"prompt\":\"a\"}",
             404,
             "unknown_service",
         ),
         (
-            "no tokens",
+            "zero tokens",
             "{\"model\":\"briefs\",\"prompt\":\"a\",\"max_tokens\":0}",
             400,
             "bad_request",
@@ -77,7 +78,7 @@
             400,
             "bad_request",
         ),
-        ("a long body", &long, 413, "too_large"),
+        ("oversized body", &long, 413, "too_large"),
     ];
     let caller = cluster.caller(0);
     for (name, body, status, kind) in cases {
@@ -94,13 +95,13 @@
         );
         assert_eq!(reply.run, "not-run", "{name}");
         let message = error["error"]["message"].as_str().unwrap_or_default();
-        assert!(!message.is_empty(), "{name} names a remedy");
+        assert!(!message.is_empty(), "{name}: the error has no message");
     }
-    still_serves(&cluster).await;
+    expect_other_callers_served(&cluster).await;
 }
 
 #[tokio::test]
-async fn a_request_larger_than_any_engine_is_refused_as_not_run() {
+async fn a_request_too_large_for_any_engine_is_refused_as_not_run() {
     let cluster = cluster().await;
     let completion = Completion {
         model: BRIEFS.to_owned(),
@@ -112,7 +113,7 @@
         .caller(0)
         .whole(&completion)
         .await
-        .expect_err("it is refused");
+        .expect_err("a refusal");
     let Error::Refused { body, .. } = refused else {
         panic!("{refused:?}");
     };
@@ -141,7 +142,7 @@
     caller
         .whole(&completion(false, 500_000))
         .await
-        .expect_err("it is refused");
+        .expect_err("a refusal");
     let metrics = cluster.entries[0].context.metrics.text();
     for (run, count) in [("ran", 2), ("not-run", 1)] {
         let line =
@@ -151,31 +152,31 @@
 }
 
 #[tokio::test]
-async fn a_slow_request_is_ended() {
+async fn a_request_that_is_sent_too_slowly_is_ended() {
     let cluster = cluster().await;
     let head = format!(
         "POST /v1/completions HTTP/1.1\r\nhost: a\r\nauthorization: Bearer {CALLER_KEY}\r\ncontent-length: 100\r\n\r\n{{"
     );
-    let answer = raw(&cluster, head.as_bytes()).await;
+    let answer = send_raw(&cluster, head.as_bytes()).await;
     assert!(!answer.contains("200 OK"), "{answer}");
-    raw(&cluster, b"GET /s/tracker/plots/1 HTTP/1.1\r\nhost:").await;
-    still_serves(&cluster).await;
+    send_raw(&cluster, b"GET /s/tracker/plots/1 HTTP/1.1\r\nhost:").await;
+    expect_other_callers_served(&cluster).await;
 }
 
 #[tokio::test]
-async fn long_headers_are_refused() {
+async fn oversized_headers_are_refused() {
     let cluster = cluster().await;
     let head = format!(
         "GET /s/{TRACKER}/a HTTP/1.1\r\nhost: a\r\nconnection: close\r\nauthorization: Bearer {CALLER_KEY}\r\nlong: {}\r\n\r\n",
         "x".repeat(4_096)
     );
-    let answer = raw(&cluster, head.as_bytes()).await;
+    let answer = send_raw(&cluster, head.as_bytes()).await;
     assert!(answer.starts_with("HTTP/1.1 431"), "{answer}");
-    still_serves(&cluster).await;
+    expect_other_callers_served(&cluster).await;
 }
 
 #[tokio::test]
-async fn too_many_connections_wait_or_end_and_harm_nothing() {
+async fn excess_connections_do_not_affect_other_callers() {
     let cluster = cluster().await;
     let address = cluster.entries[0].addresses.callers;
     let mut idle = Vec::new();
@@ -183,11 +184,11 @@
         idle.push(TcpStream::connect(address).await.expect("a connection"));
     }
     drop(idle);
-    still_serves(&cluster).await;
+    expect_other_callers_served(&cluster).await;
 }
 
 #[tokio::test]
-async fn every_port_refuses_the_keys_of_the_others() {
+async fn each_port_refuses_the_keys_of_the_other_ports() {
     let cluster = cluster().await;
     for key in ["", "wrong-key-altogether", OPERATOR_KEY] {
         let caller = Caller::new(cluster.entries[0].addresses.callers, key);
@@ -199,8 +200,8 @@
     }
     for key in ["", "wrong-key-altogether", CALLER_KEY] {
         let mut operator =
-            Operator::new(cluster.entries[0].addresses.operators, key).expect("an operator");
-        let refused = operator.list().await.expect_err("it is refused");
+            Operator::new(cluster.entries[0].addresses.operators, key).expect("an operator client");
+        let refused = operator.list().await.expect_err("a refusal");
         assert_eq!(refused.code(), tonic::Code::Unauthenticated);
     }
 }
--- a/programs/tests/explain.rs
+++ b/programs/tests/explain.rs
@@ -1,4 +1,4 @@
-//! The timeline of a request from the logs of entries.
+//! Extraction of the timeline of one request from the logs of entries.
 
 use medlarfall::commands::explain::timeline;
 
@@ -10,14 +10,14 @@
 "#;
 
 #[test]
-fn only_the_lines_of_the_request_are_told_with_their_fields() {
+fn only_the_lines_of_the_request_are_shown_with_their_fields() {
     let moments = timeline("9c41", "entry-1.log", LOG);
-    let told: Vec<(&str, &str)> = moments
+    let shown: Vec<(&str, &str)> = moments
         .iter()
         .map(|moment| (moment.message.as_str(), moment.fields.as_str()))
         .collect();
     assert_eq!(
-        told,
+        shown,
         [
             ("stream sent", "load=0.2 server=s1"),
             ("stream leaves its server", "cause=server_lost"),
--- a/programs/tests/generations.rs
+++ b/programs/tests/generations.rs
@@ -1,4 +1,5 @@
-//! Generations without a server, with one server that fails for a while, and across versions.
+//! Generations while no server is available, with a single server that fails repeatedly, and across
+//! versions.
 
 use std::time::Duration;
 
@@ -11,8 +12,8 @@
 /// Most tokens of each answer; it has at least half of them.
 const MAX_TOKENS: u64 = 120;
 
-/// Tokens that are received before the fault.
-const BEFORE: usize = 10;
+/// Tokens that are received before the fault is injected.
+const TOKENS_BEFORE_FAULT: usize = 10;
 
 /// Starts one entry and one engine.
 async fn cluster(adjust: fn(usize, &mut Settings)) -> Cluster {
@@ -27,12 +28,12 @@
     Cluster::start(plan).await.expect("the cluster is up")
 }
 
-/// Ends every answer after a short time.
-fn impatient(_: usize, settings: &mut Settings) {
+/// Sets a short time limit for every answer.
+fn short_answer_timeout(_: usize, settings: &mut Settings) {
     settings.callers.answer_timeout = Duration::from_secs(2);
 }
 
-fn ask(cluster: &Cluster, prompt: &str) -> Answer {
+fn start_generation(cluster: &Cluster, prompt: &str) -> Answer {
     let completion = Completion {
         model: BRIEFS.to_owned(),
         prompt: prompt.to_owned(),
@@ -43,7 +44,8 @@
     Answer::new(&[entry], CALLER_KEY, completion)
 }
 
-async fn read(answer: &mut Answer, count: usize) {
+/// Reads tokens until `count` have been received.
+async fn read_tokens(answer: &mut Answer, count: usize) {
     while answer.tokens().len() < count {
         let chunk = answer.next().await.expect("a chunk");
         assert!(chunk.is_some(), "the answer ended early");
@@ -51,10 +53,10 @@
 }
 
 #[tokio::test]
-async fn the_only_server_is_used_again_after_losses() {
+async fn the_only_server_is_used_again_after_lost_attempts() {
     let cluster = cluster(|_, _| {}).await;
-    let mut answer = ask(&cluster, "again");
-    read(&mut answer, BEFORE).await;
+    let mut answer = start_generation(&cluster, "again");
+    read_tokens(&mut answer, TOKENS_BEFORE_FAULT).await;
     let engine = &cluster.engines[0].engine;
     for cut in [25, 45] {
         engine.set_faults(Faults {
@@ -62,7 +64,7 @@
             ..Faults::default()
         });
         let requests = engine.stats().requests;
-        wait("the attempt is made again", || {
+        wait("the engine receives another attempt", || {
             engine.stats().requests > requests
         })
         .await
@@ -75,14 +77,14 @@
 }
 
 #[tokio::test]
-async fn without_a_server_the_answer_ends_in_an_error_that_counts_its_tokens() {
-    let cluster = cluster(impatient).await;
-    let mut answer = ask(&cluster, "none");
-    read(&mut answer, BEFORE).await;
+async fn without_a_server_the_answer_ends_in_an_error_that_states_the_delivered_tokens() {
+    let cluster = cluster(short_answer_timeout).await;
+    let mut answer = start_generation(&cluster, "none");
+    read_tokens(&mut answer, TOKENS_BEFORE_FAULT).await;
     cluster.engines[0].engine.life().die();
     let error = answer.finish().await.expect_err("an error");
     let Error::Refused { body, .. } = error else {
-        panic!("a typed error expected: {error}");
+        panic!("expected a typed error, got: {error}");
     };
     let delivered = answer.tokens().len();
     assert!(body.contains("\"kind\":\"timeout\""), "{body}");
@@ -91,10 +93,10 @@
 }
 
 #[tokio::test]
-async fn a_generation_waits_for_a_server_that_comes() {
+async fn a_generation_waits_for_a_new_server() {
     let mut cluster = cluster(|_, _| {}).await;
-    let mut answer = ask(&cluster, "waits");
-    read(&mut answer, BEFORE).await;
+    let mut answer = start_generation(&cluster, "waits");
+    read_tokens(&mut answer, TOKENS_BEFORE_FAULT).await;
     cluster.engines[0].engine.life().die();
     let added = cluster.add_engine(Config::default()).await;
     added.expect("another engine");
@@ -103,25 +105,26 @@
 }
 
 #[tokio::test]
-async fn a_paused_engine_that_returns_is_told_to_stop() {
+async fn a_paused_engine_ends_its_abandoned_generation_after_it_resumes() {
     let plan = Plan {
         failure_domains: 1,
         entries: 1,
         engine: Config {
-            // The engine would go on without a reader for longer than the test waits.
+            // Without a reader, the engine continues a generation for this period, which exceeds
+            // the test's wait: only an explicit end from the entry frees the engine in time.
             orphan_grace: Duration::from_hours(1),
             ..Config::default()
         },
         ..Plan::default()
     };
     let cluster = Cluster::start(plan).await.expect("the cluster is up");
-    let mut answer = ask(&cluster, "paused");
-    read(&mut answer, BEFORE).await;
-    let held = cluster
+    let mut answer = start_generation(&cluster, "paused");
+    read_tokens(&mut answer, TOKENS_BEFORE_FAULT).await;
+    let serving = cluster
         .engines
         .iter()
-        .find(|held| held.engine.stats().live > 0);
-    let engine = &held.expect("an engine that serves").engine;
+        .find(|candidate| candidate.engine.stats().live > 0);
+    let engine = &serving.expect("an engine that serves").engine;
     engine.life().pause(Duration::from_secs(3));
     let text = answer.finish().await.expect("the whole answer");
     assert_eq!(text, oracle::answer("v1", "paused", MAX_TOKENS));
@@ -138,31 +141,34 @@
         ..Config::default()
     };
     cluster.add_engine(v2).await.expect("an engine of v2");
-    let mut operator = cluster.operator(0).expect("an operator");
+    let mut operator = cluster.operator(0).expect("an operator client");
     let mut declared = briefs("v2");
     let services = operator.list().await.expect("the declarations");
-    let held = services.iter().find(|service| service.name == BRIEFS);
-    declared.revision = held.map_or(0, |service| service.revision);
+    let current = services.iter().find(|service| service.name == BRIEFS);
+    declared.revision = current.map_or(0, |service| service.revision);
     operator.apply(declared).await.expect("v2 is declared");
 }
 
 #[tokio::test]
 async fn a_version_never_changes_within_an_answer() {
-    let mut cluster = cluster(impatient).await;
-    let mut answer = ask(&cluster, "version");
-    read(&mut answer, BEFORE).await;
+    let mut cluster = cluster(short_answer_timeout).await;
+    let mut answer = start_generation(&cluster, "version");
+    read_tokens(&mut answer, TOKENS_BEFORE_FAULT).await;
     change_version(&mut cluster).await;
-    answer.finish().await.expect_err("no other version goes on");
+    answer
+        .finish()
+        .await
+        .expect_err("no other version continues the answer");
     let expected = oracle::answer("v1", "version", MAX_TOKENS);
     assert!(expected.starts_with(&answer.text()));
 }
 
 #[tokio::test]
-async fn a_generation_without_tokens_takes_the_new_version() {
+async fn a_generation_without_tokens_switches_to_the_new_version() {
     let mut cluster = cluster(|_, _| {}).await;
     cluster.engines[0].engine.life().die();
-    let mut answer = ask(&cluster, "new version");
-    let asking = tokio::spawn(async move {
+    let mut answer = start_generation(&cluster, "new version");
+    let generation = tokio::spawn(async move {
         let text = answer.finish().await;
         text.expect("the whole answer")
     });
@@ -171,6 +177,6 @@
         .await
         .expect("a lost attempt");
     change_version(&mut cluster).await;
-    let text = asking.await.expect("the caller ends");
+    let text = generation.await.expect("the caller task ends");
     assert_eq!(text, oracle::answer("v2", "new version", MAX_TOKENS));
 }
--- a/programs/tests/peers.rs
+++ b/programs/tests/peers.rs
@@ -1,4 +1,4 @@
-//! The peers' port: calls between entries, and who is refused.
+//! The peers' port: calls between entries, and refusal of wrong keys and other protocols.
 
 use std::time::Duration;
 
@@ -39,8 +39,8 @@
         medlarfall::cluster::CALLER_KEY,
         medlarfall::cluster::OPERATOR_KEY,
     ] {
-        let stranger = Peers::new(Secret::new(key));
-        let answer = stranger
+        let unauthorized = Peers::new(Secret::new(key));
+        let answer = unauthorized
             .call(address, CALL_TIMEOUT, |client, context| async move {
                 client.identity(context).await
             })
@@ -64,26 +64,29 @@
         .expect("bytes are sent");
     let mut answer = Vec::new();
     let read = tokio::time::timeout(Duration::from_secs(5), stream.read_to_end(&mut answer)).await;
-    assert!(read.is_ok(), "the connection is closed");
+    assert!(
+        read.is_ok(),
+        "the entry did not close the connection within 5 s"
+    );
 }
 
 #[tokio::test]
-async fn a_peer_that_comes_back_is_reached_again() {
+async fn calls_to_a_peer_that_has_died_fail_as_unreachable() {
     let cluster = cluster().await;
     let peers = &cluster.entries[0].context.peers;
     let address = cluster.entries[1].addresses.peers;
-    let ask = || {
+    let identity = || {
         peers.call(address, CALL_TIMEOUT, |client, context| async move {
             client.identity(context).await
         })
     };
-    assert!(ask().await.is_ok());
+    assert!(identity().await.is_ok());
     cluster.entries[1].kill();
     medlarfall::cluster::wait("the peer's port is closed", || {
         std::net::TcpStream::connect(address).is_err()
     })
     .await
-    .expect("the entry is gone");
-    assert!(ask().await.is_err());
-    assert!(matches!(ask().await, Err(Error::Unreachable { .. })));
+    .expect("the entry has closed its port");
+    assert!(identity().await.is_err());
+    assert!(matches!(identity().await, Err(Error::Unreachable { .. })));
 }
--- a/programs/tests/settings.rs
+++ b/programs/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings: the examples are good, each mistake is named with its remedy, the page is complete.
+//! Settings: the examples are valid, the error for each mistake names the key and the remedy, and
+//! the documentation lists every setting.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -6,7 +7,7 @@
 
 use medlarfall_serving::configs::Settings;
 
-const GOOD: &str = r#"
+const VALID: &str = r#"
 [entry]
 name = "entry-0"
 failure_domain = "domain-0"
@@ -25,7 +26,7 @@
 resume = { env = "CARGO_PKG_NAME" }
 "#;
 
-/// What is written in place of what, the key that the error names, and its remedy.
+/// Text of [`VALID`], its replacement, the key that the error names, and the remedy that it gives.
 const MISTAKES: &[(&str, &str, &str, &str)] = &[
     (
         "name = \"entry-0\"",
@@ -126,6 +127,7 @@
     ),
 ];
 
+/// Returns the root of the repository.
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
@@ -145,6 +147,7 @@
         .collect()
 }
 
+/// Runs the command line with the environment variables that the examples refer to.
 fn run(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_medlarfall"))
         .args(arguments)
@@ -157,7 +160,7 @@
 }
 
 #[test]
-fn the_examples_are_good() {
+fn the_examples_are_valid() {
     let entries = examples(true);
     assert_eq!(entries.len(), 4);
     for file in entries {
@@ -183,9 +186,9 @@
 
 #[test]
 fn each_mistake_is_named_with_its_remedy() {
-    Settings::parse(GOOD, "good.toml").expect("the settings are good");
+    Settings::parse(VALID, "good.toml").expect("the settings are valid");
     for (from, to, key, remedy) in MISTAKES {
-        let text = GOOD.replacen(from, to, 1);
+        let text = VALID.replacen(from, to, 1);
         let error = Settings::parse(&text, "bad.toml")
             .expect_err(to)
             .to_string();
@@ -196,23 +199,25 @@
         );
         assert!(
             !error.contains(env!("CARGO_MANIFEST_DIR")),
-            "a secret is printed: {error}"
+            "the error prints a secret: {error}"
         );
     }
 }
 
 #[test]
 fn secrets_are_not_printed() {
-    let settings = Settings::parse(GOOD, "good.toml").expect("the settings are good");
+    let settings = Settings::parse(VALID, "good.toml").expect("the settings are valid");
     let printed = format!("{settings:?}");
     assert!(!printed.contains("key-of-cedarline") && !printed.contains(env!("CARGO_MANIFEST_DIR")));
 }
 
 #[test]
-fn exit_codes_tell_success_failure_and_usage_apart() {
-    let good = examples(true).remove(0);
+fn exit_codes_distinguish_success_failure_and_wrong_usage() {
+    let valid = examples(true).remove(0);
     assert_eq!(
-        run(&["check", good.to_str().expect("UTF-8")]).status.code(),
+        run(&["check", valid.to_str().expect("UTF-8")])
+            .status
+            .code(),
         Some(0)
     );
     let failed = run(&["check", "/no/such/file"]);
@@ -222,24 +227,24 @@
 }
 
 #[test]
-fn the_users_platform_s_settings_file_is_checked_as_well() {
+fn the_settings_file_of_the_platform_adapter_is_checked() {
     let folder = std::env::temp_dir();
     let check = |name: &str, text: &str| {
         let file = folder.join(format!("medlarfall-{}-{name}.yaml", std::process::id()));
-        fs::write(&file, text).expect("written");
+        fs::write(&file, text).expect("the file is written");
         run(&["check", file.to_str().expect("UTF-8")])
     };
-    let good = "node: edge-1\nzone: cage-a\nbind: {front: \"127.0.0.1:1\", ready: \"127.0.0.1:2\"}\n\
+    let valid = "node: edge-1\nzone: cage-a\nbind: {front: \"127.0.0.1:1\", ready: \"127.0.0.1:2\"}\n\
                 limits: {memory_mb: 64}\nplatform: {address: \"127.0.0.1:3\"}\nnew_field: 1\n";
-    assert_eq!(check("good", good).status.code(), Some(0));
-    let bad = check("bad", &good.replace("memory_mb: 64", "memory_mb: 0"));
-    assert_eq!(bad.status.code(), Some(1));
-    let told = String::from_utf8_lossy(&bad.stderr).into_owned();
-    assert!(told.contains("limits.memory_mb"), "{told}");
+    assert_eq!(check("good", valid).status.code(), Some(0));
+    let invalid = check("bad", &valid.replace("memory_mb: 64", "memory_mb: 0"));
+    assert_eq!(invalid.status.code(), Some(1));
+    let stderr = String::from_utf8_lossy(&invalid.stderr).into_owned();
+    assert!(stderr.contains("limits.memory_mb"), "{stderr}");
 }
 
 #[test]
-fn the_page_names_every_setting() {
+fn the_settings_page_lists_every_setting() {
     let page = fs::read_to_string(root().join("docs/SETTINGS.md")).expect("the page is read");
     let proto =
         fs::read_to_string(root().join("schema/proto/settings.proto")).expect("the schema is read");
@@ -249,7 +254,7 @@
         number.ends_with(';').then(|| name.to_owned())
     });
     for name in fields.filter(|name| !matches!(name.as_str(), "file" | "env" | "syntax")) {
-        let named = page.contains(&format!("`{name}`")) || page.contains(&format!("`[{name}]`"));
-        assert!(named, "docs/SETTINGS.md does not name `{name}`");
+        let listed = page.contains(&format!("`{name}`")) || page.contains(&format!("`[{name}]`"));
+        assert!(listed, "docs/SETTINGS.md does not name `{name}`");
     }
 }
--- a/programs/tests/slow_readers.rs
+++ b/programs/tests/slow_readers.rs
@@ -1,23 +1,25 @@
-//! Readers that stop, and read on later: engine and entry are free of them, and no token is missing.
+//! Readers that stop reading and continue later: meanwhile their engines are free and the buffers
+//! of the entry stay bounded, and no token is lost.
 
 use medlarfall::caller::{Caller, Completion, Stream};
 use medlarfall::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait};
 use medlarfall_serving::configs::Settings;
 use medlarfall_standin::{engine, oracle};
 
-/// Most tokens of each answer: more than the two systems' buffers hold.
+/// Most tokens of each answer: more than the socket buffers of both ends hold.
 const MAX_TOKENS: u64 = 2_400;
 
-/// Bytes that the system holds for a reader of ours that does not read.
+/// Receive buffer of the socket of a test's reader, in bytes.
 const RECEIVE_BUFFER: usize = 4 << 10;
 
-/// Bytes that an entry holds for one reader.
+/// Bytes that an entry buffers for one reader.
 const READER_BYTES: usize = 4 << 10;
 
-/// Readers of the test of the entry's bound.
+/// Readers in the test of the entry's limit.
 const READERS: usize = 6;
 
-/// Bytes that the entry holds for all readers of that test: fewer than they may hold one by one.
+/// Bytes that the entry buffers for all readers in that test: less than the sum of their own
+/// limits.
 const ENTRY_BYTES: usize = 2 * READER_BYTES;
 
 async fn cluster(adjust: fn(usize, &mut Settings)) -> Cluster {
@@ -35,11 +37,13 @@
     Cluster::start(plan).await.expect("the cluster is up")
 }
 
-fn one_by_one(_: usize, settings: &mut Settings) {
+/// Limits the bytes that are buffered for one reader.
+fn limit_per_reader(_: usize, settings: &mut Settings) {
     settings.generation.buffered_bytes = READER_BYTES;
 }
 
-fn all_together(_: usize, settings: &mut Settings) {
+/// Limits the bytes that are buffered for one reader and for all readers.
+fn limit_for_all_readers(_: usize, settings: &mut Settings) {
     settings.generation.buffered_bytes = READER_BYTES;
     settings.generation.held_limit = ENTRY_BYTES;
 }
@@ -48,8 +52,8 @@
     format!("stopped {index}")
 }
 
-/// Asks for an answer and reads nothing of it.
-async fn ask(cluster: &Cluster, index: usize) -> Stream {
+/// Starts a generation and reads none of its answer.
+async fn start_generation(cluster: &Cluster, index: usize) -> Stream {
     let entry = cluster.entries[0].addresses.callers;
     let caller = Caller::with_receive_buffer(entry, CALLER_KEY, Some(RECEIVE_BUFFER));
     let completion = Completion {
@@ -62,18 +66,18 @@
 }
 
 /// Reads a whole answer and compares it with the oracle's.
-async fn read(mut stream: Stream, index: usize) {
+async fn expect_oracle_answer(mut stream: Stream, index: usize) {
     let (text, whole) = stream.text().await.expect("the whole stream");
     assert!(whole);
     assert!(text == oracle::answer("v1", &prompt(index), MAX_TOKENS));
 }
 
-/// Waits until no engine holds a generation and `parked` generations were parked.
-async fn parked(cluster: &Cluster, parked: u64) {
+/// Waits until no engine runs a generation and at least `parked` generations have been parked.
+async fn wait_until_parked(cluster: &Cluster, parked: u64) {
     let metrics = &cluster.entries[0].context.metrics;
     wait("the engines are free", || {
         let mut engines = cluster.engines.iter();
-        let free = engines.all(|held| held.engine.stats().live == 0);
+        let free = engines.all(|running| running.engine.stats().live == 0);
         free && metrics.generations_parked.get() >= parked
     })
     .await
@@ -81,30 +85,33 @@
 }
 
 #[tokio::test]
-async fn a_stopped_reader_frees_its_engine_and_reads_on() {
-    let cluster = cluster(one_by_one).await;
-    let stream = ask(&cluster, 0).await;
-    parked(&cluster, 1).await;
-    let held = &cluster.entries[0].context.held;
-    assert!(held.peak_bytes() < 2 * READER_BYTES);
-    read(stream, 0).await;
-    wait("nothing is held", || held.buffered_bytes() == 0)
-        .await
-        .expect("nothing is held");
+async fn a_stopped_reader_frees_its_engine_and_continues_later() {
+    let cluster = cluster(limit_per_reader).await;
+    let stream = start_generation(&cluster, 0).await;
+    wait_until_parked(&cluster, 1).await;
+    let limiter = &cluster.entries[0].context.held;
+    assert!(limiter.peak_bytes() < 2 * READER_BYTES);
+    expect_oracle_answer(stream, 0).await;
+    wait("the entry buffers nothing", || {
+        limiter.buffered_bytes() == 0
+    })
+    .await
+    .expect("the entry buffers nothing");
 }
 
 #[tokio::test]
-async fn stopped_readers_stay_under_the_bound_of_the_entry_and_read_on() {
-    let cluster = cluster(all_together).await;
+async fn stopped_readers_stay_within_the_limit_of_the_entry_and_continue_later() {
+    let cluster = cluster(limit_for_all_readers).await;
     let mut streams = Vec::new();
     for index in 0..READERS {
-        streams.push(ask(&cluster, index).await);
+        streams.push(start_generation(&cluster, index).await);
     }
-    parked(&cluster, READERS as u64).await;
+    wait_until_parked(&cluster, READERS as u64).await;
     let context = &cluster.entries[0].context;
     assert!(context.held.peak_bytes() <= ENTRY_BYTES);
     assert!(context.metrics.held_given_up.get() > 0);
     let reads = streams.into_iter().enumerate();
-    futures::future::join_all(reads.map(|(index, stream)| read(stream, index))).await;
+    futures::future::join_all(reads.map(|(index, stream)| expect_oracle_answer(stream, index)))
+        .await;
     assert!(context.held.peak_bytes() <= ENTRY_BYTES);
 }
