--- a/programs/src/bench/at_most_once.rs
+++ b/programs/src/bench/at_most_once.rs
@@ -18,7 +18,7 @@
 
 use super::Figures;
 use crate::caller::{Caller, Reply};
-use crate::cluster::{Cluster, Plan, TRACKER, wait};
+use crate::cluster::{Cluster, Plan, TRACKER, wait_until};
 
 /// Actions while faults come and go, each way.
 const ACTIONS: usize = 600;
@@ -98,7 +98,7 @@
         entries: 3,
         engines: 0,
         services: 2,
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     let cluster = Arc::new(Cluster::start(plan).await?);
@@ -160,7 +160,7 @@
             .collect();
         let path = format!("/s/{TRACKER}/plots/7");
         let reply = callers[*entry]
-            .call_with(Method::POST, &path, &action.name, &headers)
+            .call_with_headers(Method::POST, &path, &action.name, &headers)
             .await;
         let Ok(reply) = reply else {
             continue;
@@ -305,7 +305,7 @@
     tokio::time::sleep(SETTLE).await;
     let before = cluster.platform.stats();
     act_all(cluster, actions).await;
-    wait("the answers are kept", || {
+    wait_until("the answers are kept", || {
         cluster.platform.stats().writes >= before.writes + 2 * count
     })
     .await?;
--- a/programs/src/bench/config.rs
+++ b/programs/src/bench/config.rs
@@ -204,7 +204,7 @@
         };
         let operator = cluster.operator(entry);
         let mut operator = operator.map_err(|error| tonic::Status::internal(error.to_string()))?;
-        match operator.change(request).await {
+        match operator.apply_request(request).await {
             Ok(reply) => return Ok(reply.service.map(|service| service.revision)),
             Err(status) if status.code() == Code::Aborted => return Ok(None),
             Err(status) if matches!(status.code(), Code::Unknown | Code::Unavailable) => {}
--- a/programs/src/bench/membership.rs
+++ b/programs/src/bench/membership.rs
@@ -86,7 +86,7 @@
     };
     let cluster = Cluster::start(plan).await?;
     let mut live: Vec<&Entry> = cluster.entries.iter().collect();
-    cluster::wait("the entries know each other", || {
+    cluster::wait_until("the entries know each other", || {
         live.iter().all(|entry| known(entry) == size - 1)
     })
     .await?;
@@ -121,7 +121,7 @@
     let name = &dead.context.settings.entry.name;
     let started = Instant::now();
     dead.kill();
-    cluster::wait("the death is known to all", || {
+    cluster::wait_until("the death is known to all", || {
         live.iter().all(|entry| {
             let membership = entry.context.membership.view();
             let membership = membership.borrow();
--- a/programs/src/bench/moves.rs
+++ b/programs/src/bench/moves.rs
@@ -130,7 +130,7 @@
             token_interval: TOKEN_INTERVAL,
             ..engine::Config::default()
         },
-        adjust: if naive { adjust_naive } else { adjust },
+        adjust_settings: if naive { adjust_naive } else { adjust },
         ..Plan::default()
     };
     let mut cluster = Cluster::start(plan.clone()).await?;
@@ -154,7 +154,7 @@
         }
     }
     let known = cluster.engines.len() + cluster.services.len();
-    cluster::wait("every entry knows the new version", || {
+    cluster::wait_until("every entry knows the new version", || {
         let entries = &mut cluster.entries.iter();
         entries.all(|entry| entry.context.directory.borrow().iter().count() == known)
     })
--- a/programs/src/bench/moves/load.rs
+++ b/programs/src/bench/moves/load.rs
@@ -119,7 +119,7 @@
         max_tokens: TOKENS,
         stream: false,
     };
-    let Ok(answer) = caller.whole(&completion).await else {
+    let Ok(answer) = caller.generate(&completion).await else {
         return Judgement::Failed;
     };
     let right = ["v1", "v2"].map(|version| oracle::answer(version, &prompt, TOKENS));
--- a/programs/src/bench/routing.rs
+++ b/programs/src/bench/routing.rs
@@ -199,7 +199,7 @@
         added.context.declarations.borrow().loaded
             && added.context.directory.borrow().iter().count() > 0
     };
-    crate::cluster::wait("the new entry knows the services", declared).await?;
+    crate::cluster::wait_until("the new entry knows the services", declared).await?;
     callers.lock().await.push(cluster.caller(9));
     Ok(())
 }
--- a/programs/src/bench/slow_readers.rs
+++ b/programs/src/bench/slow_readers.rs
@@ -14,7 +14,7 @@
 
 use super::{Figures, milliseconds};
 use crate::caller::{Caller, Chunk, Completion, Stream};
-use crate::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait};
+use crate::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait_until};
 
 /// Readers that stop after their first token.
 const STOPPED: usize = 350;
@@ -115,7 +115,7 @@
             memory_tokens: 4_000_000,
             ..engine::Config::default()
         },
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     let cluster = Cluster::start(plan).await?;
@@ -258,7 +258,7 @@
         let mut engines = cluster.engines.iter();
         engines.all(|held| held.engine.stats().live == 0)
     };
-    wait("the engines are free", free).await.is_ok()
+    wait_until("the engines are free", free).await.is_ok()
 }
 
 /// Returns whether the entries come to hold nothing, once stopped readers are cut off.
@@ -267,7 +267,7 @@
         let mut entries = cluster.entries.iter();
         entries.all(|entry| entry.context.held.buffered_bytes() == 0)
     };
-    wait("the entries hold nothing", free).await.is_ok()
+    wait_until("the entries hold nothing", free).await.is_ok()
 }
 
 /// Returns how a quantile compares with another's.
--- a/programs/src/bench/stops.rs
+++ b/programs/src/bench/stops.rs
@@ -44,7 +44,7 @@
 pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
     let mut cluster = Cluster::start(Plan {
         engines: 4,
-        adjust: |_, settings| settings.stops.policy.lead = LEAD,
+        adjust_settings: |_, settings| settings.stops.policy.lead = LEAD,
         ..Plan::default()
     })
     .await?;
--- a/programs/src/caller.rs
+++ b/programs/src/caller.rs
@@ -25,7 +25,7 @@
 pub enum Error {
     /// The entry could not be reached, or the connection was lost.
     #[snafu(display("the entry cannot be reached or was lost: {reason}; try another entry"))]
-    Lost {
+    Disconnected {
         /// What happened.
         reason: String,
     },
@@ -175,7 +175,7 @@
     /// # Errors
     ///
     /// Returns the entry's error, or that it was lost.
-    pub async fn whole(&self, completion: &Completion) -> Result<String, Error> {
+    pub async fn generate(&self, completion: &Completion) -> Result<String, Error> {
         let body = serde_json::to_string(completion).map_err(lost)?;
         let response = self.complete(body, None).await?;
         let body = read(response.into_body()).await?;
@@ -193,7 +193,7 @@
     ///
     /// Returns that the entry was lost; its refusals are replies.
     pub async fn call(&self, method: Method, path: &str, body: &str) -> Result<Reply, Error> {
-        self.call_with(method, path, body, &[]).await
+        self.call_with_headers(method, path, body, &[]).await
     }
 
     /// Calls a plain service with more headers, such as `idempotency-key`.
@@ -201,7 +201,7 @@
     /// # Errors
     ///
     /// Returns that the entry was lost; its refusals are replies.
-    pub async fn call_with(
+    pub async fn call_with_headers(
         &self,
         method: Method,
         path: &str,
@@ -362,5 +362,5 @@
     if let Some(source) = error.source() {
         reason = format!("{reason}: {source}");
     }
-    Error::Lost { reason }
+    Error::Disconnected { reason }
 }
--- a/programs/src/caller/answer.rs
+++ b/programs/src/caller/answer.rs
@@ -46,7 +46,7 @@
 
     /// Returns how often the answer went on at another entry.
     #[must_use]
-    pub fn losses(&self) -> usize {
+    pub fn failovers(&self) -> usize {
         self.losses
     }
 
@@ -111,18 +111,18 @@
     /// Reads one chunk at the current entry.
     async fn step(&mut self) -> Result<Chunk, Error> {
         if self.callers.is_empty() {
-            return Err(Error::Lost {
+            return Err(Error::Disconnected {
                 reason: "no entry was named".to_owned(),
             });
         }
-        let silent = |_| Error::Lost {
+        let silent = |_| Error::Disconnected {
             reason: "the entry fell silent".to_owned(),
         };
         if self.stream.is_none() {
             let stream = tokio::time::timeout(SILENCE_LIMIT, self.ask()).await;
             self.stream = Some(stream.map_err(silent)??);
         }
-        let cut = || Error::Lost {
+        let cut = || Error::Disconnected {
             reason: "the stream ended early".to_owned(),
         };
         let stream = self.stream.as_mut().ok_or_else(cut)?;
@@ -157,7 +157,7 @@
     fn may_go_on(&self, error: &Error) -> bool {
         match error {
             _ if self.callers.is_empty() => false,
-            Error::Lost { .. } => true,
+            Error::Disconnected { .. } => true,
             Error::Refused { body, .. } => body.contains("\"kind\":\"unavailable\""),
         }
     }
--- a/programs/src/cluster.rs
+++ b/programs/src/cluster.rs
@@ -73,7 +73,7 @@
     /// How each engine is started.
     pub engine: engine::Config,
     /// Changes the settings of each entry, by its index.
-    pub adjust: fn(usize, &mut Settings),
+    pub adjust_settings: fn(usize, &mut Settings),
 }
 
 impl Default for Plan {
@@ -84,7 +84,7 @@
             engines: 2,
             services: 1,
             engine: engine::Config::default(),
-            adjust: |_, _| {},
+            adjust_settings: |_, _| {},
         }
     }
 }
@@ -102,7 +102,7 @@
 
 /// An instance of the plain service.
 #[derive(Clone, Debug)]
-pub struct Plain {
+pub struct PlainService {
     /// The service.
     pub service: service::Service,
     /// Its server.
@@ -123,7 +123,7 @@
     /// The engines.
     pub engines: Vec<Engine>,
     /// The instances of the plain service.
-    pub services: Vec<Plain>,
+    pub services: Vec<PlainService>,
     /// The entries.
     pub entries: Vec<Entry>,
 }
@@ -197,7 +197,7 @@
             .map_err(|error| failed(&instance.name, &error))?;
         instance.address = server.address.to_string();
         self.platform.register(instance.clone());
-        self.services.push(Plain {
+        self.services.push(PlainService {
             service,
             server,
             instance,
@@ -213,7 +213,7 @@
     pub async fn add_entry(&mut self) -> Result<(), Error> {
         let index = self.entries.len();
         let mut settings = self.settings(index);
-        (self.plan.adjust)(index, &mut settings);
+        (self.plan.adjust_settings)(index, &mut settings);
         let name = settings.entry.name.to_string();
         let entry = entry::start(settings)
             .await
@@ -256,7 +256,7 @@
     /// Waits until every entry has the declarations and backend servers.
     async fn ready(&self) -> Result<(), Error> {
         let servers = self.engines.len() + self.services.len();
-        wait("every entry knows the services and backend servers", || {
+        wait_until("every entry knows the services and backend servers", || {
             self.entries.iter().all(|entry| {
                 let declared = entry.context.declarations.borrow().services.len();
                 let known = entry.context.directory.borrow().iter().count();
@@ -371,7 +371,10 @@
 /// # Errors
 ///
 /// Returns the condition that did not come about.
-pub async fn wait(condition: &'static str, mut holds: impl FnMut() -> bool) -> Result<(), Error> {
+pub async fn wait_until(
+    condition: &'static str,
+    mut holds: impl FnMut() -> bool,
+) -> Result<(), Error> {
     let waiting = async {
         while !holds() {
             tokio::time::sleep(POLL_INTERVAL).await;
--- a/programs/src/commands.rs
+++ b/programs/src/commands.rs
@@ -65,7 +65,7 @@
         ..rpc::ApplyRequest::default()
     };
     let reply = Operator::new(entry, key)?
-        .change(request)
+        .apply_request(request)
         .await
         .map_err(|status| message(&status))?;
     let stored = reply.service.unwrap_or_default();
--- a/programs/src/operator.rs
+++ b/programs/src/operator.rs
@@ -69,7 +69,10 @@
     /// # Errors
     ///
     /// Returns the entry's refusal.
-    pub async fn change(&mut self, request: rpc::ApplyRequest) -> Result<rpc::ApplyReply, Status> {
+    pub async fn apply_request(
+        &mut self,
+        request: rpc::ApplyRequest,
+    ) -> Result<rpc::ApplyReply, Status> {
         Ok(self.client.apply(request).await?.into_inner())
     }
 
--- a/programs/tests/at_most_once.rs
+++ b/programs/tests/at_most_once.rs
@@ -151,7 +151,7 @@
         let headers = [("idempotency-key", id.as_str())];
         let idempotent = fleet
             .caller(0)
-            .call_with(Method::PUT, "/s/tracker/records/1", "put", &headers)
+            .call_with_headers(Method::PUT, "/s/tracker/records/1", "put", &headers)
             .await
             .expect("a reply");
         assert_eq!(idempotent.run, "ran");
@@ -224,7 +224,7 @@
         async move {
             let headers = [("idempotency-key", id.as_str())];
             caller
-                .call_with(Method::POST, "/s/tracker/plots/7", "orphan", &headers)
+                .call_with_headers(Method::POST, "/s/tracker/plots/7", "orphan", &headers)
                 .await
         }
     });
@@ -332,7 +332,7 @@
     let headers = [("medlarfall-timeout-ms", "300")];
     let reply = fleet
         .caller(0)
-        .call_with(Method::POST, "/s/tracker/plots/7", "slow", &headers)
+        .call_with_headers(Method::POST, "/s/tracker/plots/7", "slow", &headers)
         .await
         .expect("a reply");
     assert_eq!((reply.status, reply.run.as_str()), (504, "unknown"));
--- a/programs/tests/at_most_once/fleet.rs
+++ b/programs/tests/at_most_once/fleet.rs
@@ -240,7 +240,7 @@
 pub async fn act(caller: &Caller, action: &str, id: Option<&str>) -> Reply {
     let headers: Vec<(&str, &str)> = id.map(|id| ("idempotency-key", id)).into_iter().collect();
     caller
-        .call_with(Method::POST, "/s/tracker/plots/7", action, &headers)
+        .call_with_headers(Method::POST, "/s/tracker/plots/7", action, &headers)
         .await
         .expect("a reply")
 }
--- a/programs/tests/callers.rs
+++ b/programs/tests/callers.rs
@@ -20,7 +20,7 @@
 
 async fn cluster() -> Cluster {
     let plan = Plan {
-        adjust: |_, settings| {
+        adjust_settings: |_, settings| {
             settings.callers.body_limit = BODY_LIMIT;
             settings.callers.request_timeout = REQUEST_TIMEOUT;
             settings.callers.header_limit = 2_048;
@@ -110,7 +110,7 @@
     };
     let refused = cluster
         .caller(0)
-        .whole(&completion)
+        .generate(&completion)
         .await
         .expect_err("it is refused");
     let Error::Refused { body, .. } = refused else {
@@ -133,13 +133,13 @@
     };
     let caller = cluster.caller(0);
     caller
-        .whole(&completion(false, 4))
+        .generate(&completion(false, 4))
         .await
         .expect("a whole answer");
     let mut stream = caller.stream(&completion(true, 4)).await.expect("a stream");
     stream.text().await.expect("the whole stream");
     caller
-        .whole(&completion(false, 500_000))
+        .generate(&completion(false, 500_000))
         .await
         .expect_err("it is refused");
     let metrics = cluster.entries[0].context.metrics.text();
--- a/programs/tests/configuration.rs
+++ b/programs/tests/configuration.rs
@@ -13,7 +13,7 @@
         ..Plan::default()
     };
     let cluster = Cluster::start(plan).await.expect("the cluster is up");
-    cluster::wait("the entries know each other", || {
+    cluster::wait_until("the entries know each other", || {
         cluster.entries.iter().all(|entry| {
             let membership = entry.context.membership.view().borrow().clone();
             membership.neighbours.len() + 1 >= entries / 2 && !membership.contacts.is_empty()
@@ -44,7 +44,7 @@
         ..ApplyRequest::default()
     };
     let mut operator = cluster.operator(entry).expect("an operator");
-    operator.change(request).await
+    operator.apply_request(request).await
 }
 
 fn revision(cluster: &Cluster, entry: usize) -> u64 {
@@ -53,7 +53,7 @@
 }
 
 async fn in_force(cluster: &Cluster, expected: u64) {
-    cluster::wait("the revision is in force everywhere", || {
+    cluster::wait_until("the revision is in force everywhere", || {
         (0..cluster.entries.len()).all(|entry| revision(cluster, entry) >= expected)
     })
     .await
@@ -154,7 +154,7 @@
     cluster.add_entry().await.expect("an entry starts");
     in_force(&cluster, 2).await;
     let added = &cluster.entries[4].context;
-    cluster::wait("the entry is ready and knows the backend servers", || {
+    cluster::wait_until("the entry is ready and knows the backend servers", || {
         added.declarations.borrow().loaded && added.directory.borrow().iter().count() > 1
     })
     .await
@@ -180,7 +180,7 @@
 }
 
 async fn in_force_after_outage(cluster: &Cluster) {
-    cluster::wait("the entry has read the store", || revision(cluster, 0) == 1)
+    cluster::wait_until("the entry has read the store", || revision(cluster, 0) == 1)
         .await
         .expect("the store is read");
     assert_eq!(readiness(cluster, 0).await.0, 200);
--- a/programs/tests/generations.rs
+++ b/programs/tests/generations.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use medlarfall::caller::{Answer, Completion, Error};
-use medlarfall::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, briefs, wait};
+use medlarfall::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, briefs, wait_until};
 use medlarfall_serving::configs::Settings;
 use medlarfall_standin::engine::{Config, Faults};
 use medlarfall_standin::oracle;
@@ -21,7 +21,7 @@
         entries: 1,
         engines: 1,
         services: 1,
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     Cluster::start(plan).await.expect("the cluster is up")
@@ -62,7 +62,7 @@
             ..Faults::default()
         });
         let requests = engine.stats().requests;
-        wait("the attempt is made again", || {
+        wait_until("the attempt is made again", || {
             engine.stats().requests > requests
         })
         .await
@@ -71,7 +71,7 @@
     engine.set_faults(Faults::default());
     let text = answer.finish().await.expect("the whole answer");
     assert_eq!(text, oracle::answer("v1", "again", MAX_TOKENS));
-    assert_eq!(answer.losses(), 0);
+    assert_eq!(answer.failovers(), 0);
 }
 
 #[tokio::test]
@@ -125,7 +125,7 @@
     engine.life().pause(Duration::from_secs(3));
     let text = answer.finish().await.expect("the whole answer");
     assert_eq!(text, oracle::answer("v1", "paused", MAX_TOKENS));
-    wait("the paused engine is free", || engine.stats().live == 0)
+    wait_until("the paused engine is free", || engine.stats().live == 0)
         .await
         .expect("the paused engine is free");
 }
@@ -167,7 +167,7 @@
         text.expect("the whole answer")
     });
     let metrics = &cluster.entries[0].context.metrics;
-    wait("an attempt is lost", || metrics.attempts_lost.get() > 0)
+    wait_until("an attempt is lost", || metrics.attempts_lost.get() > 0)
         .await
         .expect("a lost attempt");
     change_version(&mut cluster).await;
--- a/programs/tests/moves.rs
+++ b/programs/tests/moves.rs
@@ -38,7 +38,7 @@
             token_interval: Duration::from_millis(4),
             ..engine::Config::default()
         },
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     let mut cluster = Cluster::start(plan.clone()).await.expect("a cluster");
@@ -54,7 +54,7 @@
         };
         cluster.add_service(service).await.expect("a service");
     }
-    cluster::wait("every entry knows the new version", || {
+    cluster::wait_until("every entry knows the new version", || {
         let known = |entry: &medlarfall_serving::entry::Entry| {
             entry.context.directory.borrow().iter().count() == 7
         };
@@ -108,7 +108,7 @@
                     max_tokens: 24,
                     stream: false,
                 };
-                let answer = caller.whole(&completion).await;
+                let answer = caller.generate(&completion).await;
                 let whole = ["v1", "v2"].map(|version| oracle::answer(version, &prompt, 24));
                 if !answer.is_ok_and(|answer| whole.contains(&answer)) {
                     wrong.fetch_add(1, Ordering::Relaxed);
@@ -148,7 +148,7 @@
 
 /// Waits until the declaration in force at every entry names a version.
 async fn declared(cluster: &Cluster, service: &str, version: &str) {
-    cluster::wait("every entry has the version declared", || {
+    cluster::wait_until("every entry has the version declared", || {
         cluster.entries.iter().all(|entry| {
             let declarations = entry.context.declarations.borrow().clone();
             declarations
@@ -325,7 +325,7 @@
         move || cluster.entries.iter().all(|entry| phase(entry, wanted))
     };
     let moving = known(|phase| *phase == MovePhase::Stage);
-    cluster::wait("every entry moves", moving)
+    cluster::wait_until("every entry moves", moving)
         .await
         .expect("moving");
     cluster.platform.set_faults(platform::Faults {
@@ -339,7 +339,7 @@
         });
     }
     let braked = known(|phase| *phase == MovePhase::Braked);
-    cluster::wait("every entry has braked", braked)
+    cluster::wait_until("every entry has braked", braked)
         .await
         .expect("braked");
     for entry in &cluster.entries {
@@ -362,7 +362,7 @@
 #[tokio::test]
 async fn a_brake_reaches_an_entry_without_requests_while_the_platform_is_down() {
     let cluster = start().await;
-    cluster::wait("the entries know each other", || {
+    cluster::wait_until("the entries know each other", || {
         let knows = |entry: &medlarfall_serving::entry::Entry| {
             entry.context.membership.view().borrow().up().count() == 1
         };
@@ -375,7 +375,7 @@
         .start_move(TRACKER, "v2", deadline_ms(Duration::from_mins(2)))
         .await
         .expect("the move is accepted");
-    cluster::wait("every entry moves", || {
+    cluster::wait_until("every entry moves", || {
         let moving = |phase: &MovePhase| *phase == MovePhase::Stage;
         cluster.entries.iter().all(|entry| phase(entry, moving))
     })
@@ -392,7 +392,7 @@
         });
     }
     let load = call_at(&cluster, 1);
-    cluster::wait("the entry without requests has braked", || {
+    cluster::wait_until("the entry without requests has braked", || {
         phase(&cluster.entries[1], |phase| *phase == MovePhase::Braked)
     })
     .await
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -27,7 +27,7 @@
         engines: 1,
         entries: 1,
         engine,
-        adjust: |_, settings| settings.orders.policy.order_timeout = TIMEOUT,
+        adjust_settings: |_, settings| settings.orders.policy.order_timeout = TIMEOUT,
         ..Plan::default()
     })
     .await
@@ -216,7 +216,7 @@
     let mut declared = services.pop().unwrap_or_else(|| briefs("v1"));
     declared.fencing = true;
     operator.apply(declared).await.expect("it is accepted");
-    medlarfall::cluster::wait("the declaration is in force", || {
+    medlarfall::cluster::wait_until("the declaration is in force", || {
         context.enforces_fencing(&server)
     })
     .await
--- a/programs/tests/peers.rs
+++ b/programs/tests/peers.rs
@@ -79,7 +79,7 @@
     };
     assert!(ask().await.is_ok());
     cluster.entries[1].kill();
-    medlarfall::cluster::wait("the peer's port is closed", || {
+    medlarfall::cluster::wait_until("the peer's port is closed", || {
         std::net::TcpStream::connect(address).is_err()
     })
     .await
--- a/programs/tests/plain_services.rs
+++ b/programs/tests/plain_services.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use medlarfall::cluster::{CALLER_KEY, Cluster, Plan, wait};
+use medlarfall::cluster::{CALLER_KEY, Cluster, Plan, wait_until};
 use medlarfall_serving::configs::Settings;
 use medlarfall_standin::service;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,7 +25,7 @@
     let plan = Plan {
         entries: 1,
         engines: 0,
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     Cluster::start(plan).await.expect("the cluster is up")
@@ -63,13 +63,13 @@
     });
     let address = cluster.entries[0].addresses.callers;
     let mut stopped = open(address, 4, "held").await;
-    wait("the answer is held", || budget.reserved() >= ANSWER)
+    wait_until("the answer is held", || budget.reserved() >= ANSWER)
         .await
         .expect("it is held");
     let refused = act(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
     assert!(!cluster.services[0].service.runs().contains_key("no room"));
-    wait("the room is given back", || budget.reserved() == 0)
+    wait_until("the room is given back", || budget.reserved() == 0)
         .await
         .expect("it is given back");
     assert_eq!(act(&cluster, "room").await, (200, "ran".to_owned()));
@@ -89,7 +89,7 @@
     for index in 0..8 {
         let ran = act(&cluster, &format!("large {index}")).await;
         assert_eq!(ran, (200, "ran".to_owned()));
-        wait("the room is given back", || budget.reserved() == 0)
+        wait_until("the room is given back", || budget.reserved() == 0)
             .await
             .expect("it is given back");
     }
@@ -101,12 +101,12 @@
     let budget = &cluster.entries[0].context.calls.budget;
     let address = cluster.entries[0].addresses.callers;
     let mut stalled = open(address, ANSWER, "only the start").await;
-    wait("room is held for the body", || budget.reserved() >= ANSWER)
+    wait_until("room is held for the body", || budget.reserved() >= ANSWER)
         .await
         .expect("it is held");
     let refused = act(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
-    wait("the room is given back", || budget.reserved() == 0)
+    wait_until("the room is given back", || budget.reserved() == 0)
         .await
         .expect("it is given back");
     assert_eq!(act(&cluster, "room").await, (200, "ran".to_owned()));
@@ -176,7 +176,7 @@
         ("medlarfall-timeout-ms", "900"),
     ];
     let caller = cluster.caller(0);
-    let call = caller.call_with(Method::POST, "/s/tracker/plots/7", "traced", &headers);
+    let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "traced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
     let passed_on = cluster.services[0].service.passed_on("traced");
     let passed_on = passed_on.expect("it was called");
@@ -190,7 +190,7 @@
     let cluster = cluster().await;
     let headers = [("traceparent", "00-nonsense")];
     let caller = cluster.caller(0);
-    let call = caller.call_with(Method::POST, "/s/tracker/plots/7", "untraced", &headers);
+    let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "untraced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
     let passed_on = cluster.services[0].service.passed_on("untraced");
     let passed_on = passed_on.expect("it was called");
--- a/programs/tests/processes.rs
+++ b/programs/tests/processes.rs
@@ -213,7 +213,7 @@
         let streamed = stream.text().await.expect("the whole stream");
         assert_eq!(streamed, (expected.clone(), true));
         let whole = caller
-            .whole(&completion(&prompt, 60))
+            .generate(&completion(&prompt, 60))
             .await
             .expect("a whole answer");
         assert_eq!(whole, expected);
@@ -274,7 +274,7 @@
     let told = Command::new("kill").args(["-TERM", &pid]).status();
     assert!(told.expect("kill runs").success());
     let refused = loop {
-        match path.caller(0).whole(&completion("too late", 5)).await {
+        match path.caller(0).generate(&completion("too late", 5)).await {
             Ok(_) => tokio::time::sleep(Duration::from_millis(20)).await,
             Err(error) => break error.to_string(),
         }
--- a/programs/tests/slow_readers.rs
+++ b/programs/tests/slow_readers.rs
@@ -1,7 +1,7 @@
 //! Readers that stop, and read on later: engine and entry are free of them, and no token is missing.
 
 use medlarfall::caller::{Caller, Completion, Stream};
-use medlarfall::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait};
+use medlarfall::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait_until};
 use medlarfall_serving::configs::Settings;
 use medlarfall_standin::{engine, oracle};
 
@@ -29,7 +29,7 @@
             token_interval: std::time::Duration::from_millis(1),
             ..engine::Config::default()
         },
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     Cluster::start(plan).await.expect("the cluster is up")
@@ -71,7 +71,7 @@
 /// Waits until no engine holds a generation and `parked` generations were parked.
 async fn parked(cluster: &Cluster, parked: u64) {
     let metrics = &cluster.entries[0].context.metrics;
-    wait("the engines are free", || {
+    wait_until("the engines are free", || {
         let mut engines = cluster.engines.iter();
         let free = engines.all(|held| held.engine.stats().live == 0);
         free && metrics.generations_parked.get() >= parked
@@ -88,7 +88,7 @@
     let held = &cluster.entries[0].context.held;
     assert!(held.peak_bytes() < 2 * READER_BYTES);
     read(stream, 0).await;
-    wait("nothing is held", || held.buffered_bytes() == 0)
+    wait_until("nothing is held", || held.buffered_bytes() == 0)
         .await
         .expect("nothing is held");
 }
--- a/programs/tests/stops.rs
+++ b/programs/tests/stops.rs
@@ -4,7 +4,7 @@
 
 use futures::future::join_all;
 use medlarfall::caller::{Caller, Completion};
-use medlarfall::cluster::{BRIEFS, Cluster, Plan, wait};
+use medlarfall::cluster::{BRIEFS, Cluster, Plan, wait_until};
 use medlarfall_schema::declaration::Stop;
 use medlarfall_schema::operator::StopState;
 use medlarfall_serving::backend::http::Client;
@@ -18,7 +18,7 @@
 fn plan(engines: usize) -> Plan {
     Plan {
         engines,
-        adjust: |_, settings| {
+        adjust_settings: |_, settings| {
             settings.stops.policy.lead = Duration::from_secs(1);
             settings.stops.entry_window = Duration::from_secs(20);
         },
@@ -72,7 +72,7 @@
 
 /// Waits until the engines run this many generations.
 async fn running(cluster: &Cluster, count: u64) {
-    wait("the generations run", || {
+    wait_until("the generations run", || {
         let live = cluster
             .engines
             .iter()
@@ -136,7 +136,7 @@
 #[tokio::test]
 async fn an_entry_cut_off_from_the_store_learns_of_a_stop_from_a_peer() {
     let cluster = Cluster::start(plan(4)).await.expect("a cluster");
-    wait("the entries know each other", || {
+    wait_until("the entries know each other", || {
         cluster.entries.iter().all(|entry| {
             let members = entry.context.membership.view();
             members.borrow().up().count() > 0
@@ -163,7 +163,7 @@
             .await
             .expect("the stop is accepted");
     }
-    wait("the entry that is cut off knows of the stop", || {
+    wait_until("the entry that is cut off knows of the stop", || {
         let declared = cluster.entries[1].context.stops.declared();
         let known = declared.borrow().iter().count();
         known == 2
@@ -244,7 +244,7 @@
         .plan_stop(stop("failure-domain/domain-0", Duration::from_secs(12)))
         .await
         .expect("the stop is accepted");
-    wait("the entries of the domain leave", || {
+    wait_until("the entries of the domain leave", || {
         cluster.entries[0].context.stops.leaving() && cluster.entries[2].context.stops.leaving()
     })
     .await
@@ -263,7 +263,7 @@
     running(&cluster, 4).await;
     let entry = cluster.entries[0].clone();
     let leaving = tokio::spawn(async move { entry.leave().await });
-    wait("the entry leaves", || {
+    wait_until("the entry leaves", || {
         cluster.entries[0].context.stops.leaving()
     })
     .await
@@ -274,7 +274,7 @@
         max_tokens: 5,
         stream: false,
     };
-    let refused = cluster.caller(0).whole(&completion).await;
+    let refused = cluster.caller(0).generate(&completion).await;
     let message = refused.expect_err("a refusal").to_string();
     assert!(message.contains("\"run\":\"not-run\""), "{message}");
     assert!(message.contains("another entry"), "{message}");
@@ -285,7 +285,7 @@
 #[tokio::test]
 async fn callers_of_an_entry_whose_window_ends_are_sent_elsewhere() {
     let cluster = Cluster::start(Plan {
-        adjust: |_, settings| settings.stops.entry_window = Duration::from_millis(500),
+        adjust_settings: |_, settings| settings.stops.entry_window = Duration::from_millis(500),
         ..plan(2)
     })
     .await
@@ -323,7 +323,7 @@
         down: true,
         ..platform::Faults::default()
     });
-    wait("the engine is left", || {
+    wait_until("the engine is left", || {
         cluster.engines[0].engine.stats().live == 0
     })
     .await
