--- a/programs/src/bin/medlarfall-standin.rs
+++ b/programs/src/bin/medlarfall-standin.rs
@@ -1,4 +1,4 @@
-//! The stand-ins for the platform, engines and services, each as a process.
+//! Runs a stand-in for the platform, an engine or a plain service as a process of its own.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -12,28 +12,28 @@
 use medlarfall_standin::platform::Instance;
 use medlarfall_standin::{engine, oracle, platform, service};
 
-/// Arguments, parsed by `xflags`, which writes the code without comments.
+/// Command-line arguments; `xflags` generates their types without documentation.
 #[allow(missing_docs)]
 mod flags {
     use std::net::SocketAddr;
 
     xflags::xflags! {
-        /// Stands in for what medlarfall meets outside itself.
+        /// Runs stand-ins for the systems that medlarfall depends on.
         cmd medlarfall-standin {
             /// Runs the platform: key-value service, instance list and weight store.
             cmd platform {
                 /// Address to listen on; port 0 by default.
                 optional --listen listen: SocketAddr
-                /// Delay of the instance list, in milliseconds.
+                /// Delay before changes appear on the instance list, in milliseconds.
                 optional --instances-lag-ms instances_lag_ms: u64
             }
-            /// Runs a model engine and puts it on the platform's instance list.
+            /// Runs a model engine and registers it on the platform's instance list.
             cmd engine {
                 /// Address of the platform.
                 required --platform platform: SocketAddr
                 /// Unique name of the instance.
                 required --name name: String
-                /// Service that the engine stands behind.
+                /// Service that the engine belongs to.
                 required --service service: String
                 /// Failure domain that the engine runs in.
                 required --failure-domain failure_domain: String
@@ -45,18 +45,18 @@
                 optional --version version: String
                 /// Time between two tokens, in milliseconds.
                 optional --token-interval-ms token_interval_ms: u64
-                /// Memory in tokens; the engine dies over it.
+                /// Memory in tokens; the engine dies if it needs more.
                 optional --memory-tokens memory_tokens: u64
-                /// Takes orders whatever their fencing number.
+                /// Accepts orders regardless of their fencing number.
                 optional --ignore-fencing
             }
-            /// Runs a plain service and puts it on the platform's instance list.
+            /// Runs a plain service and registers it on the platform's instance list.
             cmd service {
                 /// Address of the platform.
                 required --platform platform: SocketAddr
                 /// Unique name of the instance.
                 required --name name: String
-                /// Service that the instance stands behind.
+                /// Service that the instance belongs to.
                 required --service service: String
                 /// Failure domain that the instance runs in.
                 required --failure-domain failure_domain: String
@@ -67,13 +67,13 @@
                 /// Version that the service runs.
                 optional --version version: String
             }
-            /// Prints the answer that an engine must give.
+            /// Prints the answer that an engine must return.
             cmd expect {
                 /// Version of the model.
                 required --version version: String
                 /// The prompt.
                 required --prompt prompt: String
-                /// Most tokens of the answer.
+                /// Maximum number of tokens of the answer.
                 required --max-tokens max_tokens: u64
             }
         }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Runs a platform until the process ends.
+/// Runs a platform until it is killed.
 async fn run_platform(flags: flags::Platform) -> Result<(), String> {
     let mut config = platform::Config {
         death: Death::Process,
@@ -117,12 +117,12 @@
     let (_, server) = platform::start(config)
         .await
         .map_err(|error| error.to_string())?;
-    listening(&server);
+    print_address(&server);
     server.killed().await;
     Ok(())
 }
 
-/// Runs an engine until the process ends.
+/// Runs an engine until it is killed.
 async fn run_engine(flags: flags::Engine) -> Result<(), String> {
     let mut config = engine::Config {
         death: Death::Process,
@@ -151,12 +151,12 @@
         leaving: false,
     };
     register(flags.platform, &instance).await?;
-    listening(&server);
+    print_address(&server);
     server.killed().await;
     Ok(())
 }
 
-/// Runs a service until the process ends.
+/// Runs a plain service until it is killed.
 async fn run_service(flags: flags::Service) -> Result<(), String> {
     let mut config = service::Config {
         death: Death::Process,
@@ -180,25 +180,25 @@
         leaving: false,
     };
     register(flags.platform, &instance).await?;
-    listening(&server);
+    print_address(&server);
     server.killed().await;
     Ok(())
 }
 
-/// Puts an instance on the platform's list.
+/// Registers an instance on the platform's list.
 async fn register(platform: SocketAddr, instance: &Instance) -> Result<(), String> {
     let body = serde_json::to_vec(instance).map_err(|error| error.to_string())?;
     let request = hyper::Request::put(format!("http://{platform}/instances/{}", instance.name))
         .body(Full::new(bytes::Bytes::from(body)))
         .map_err(|error| error.to_string())?;
     let client: Client<_, Full<bytes::Bytes>> = Client::builder(TokioExecutor::new()).build_http();
-    let answer = client.request(request).await;
-    answer.map(drop).map_err(|error| {
-        format!("the platform at {platform} cannot be reached: {error}; start it first")
+    let response = client.request(request).await;
+    response.map(drop).map_err(|error| {
+        format!("cannot connect to the platform at {platform}: {error}; start it first")
     })
 }
 
-/// Prints the address that a stand-in listens on.
-fn listening(server: &Server) {
+/// Prints the address that a stand-in listens on, as a line of JSON.
+fn print_address(server: &Server) {
     println!("{}", serde_json::json!({ "listening": server.address }));
 }
--- a/programs/src/bin/medlarfalld.rs
+++ b/programs/src/bin/medlarfalld.rs
@@ -1,4 +1,4 @@
-//! The entry daemon.
+//! The entry daemon `medlarfalld`: runs one entry until it is interrupted or terminated.
 
 use std::process::ExitCode;
 
@@ -6,7 +6,7 @@
 use medlarfall_serving::{entry, telemetry};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Arguments, parsed by `xflags`, which writes the code without comments.
+/// Command-line arguments; `xflags` generates their types without documentation.
 #[allow(missing_docs)]
 mod flags {
     use std::path::PathBuf;
@@ -20,8 +20,8 @@
     }
 }
 
-/// Exit code for settings that cannot be used.
-const USAGE: u8 = 2;
+/// Exit code for invalid settings.
+const INVALID_SETTINGS: u8 = 2;
 
 #[tokio::main]
 async fn main() -> ExitCode {
@@ -30,12 +30,13 @@
         Ok(settings) => run(settings).await,
         Err(error) => {
             eprintln!("medlarfalld: {error}");
-            ExitCode::from(USAGE)
+            ExitCode::from(INVALID_SETTINGS)
         }
     }
 }
 
-/// Runs the entry until the process is interrupted; when it is told to terminate, it leaves first.
+/// Runs the entry until the process receives SIGINT, or SIGTERM, on which the entry leaves the
+/// cluster before the process exits.
 async fn run(settings: Settings) -> ExitCode {
     telemetry::start(settings.log.level);
     let entry = match entry::start(settings).await {
@@ -50,7 +51,7 @@
     let mut terminated = match signal(SignalKind::terminate()) {
         Ok(terminated) => terminated,
         Err(error) => {
-            eprintln!("medlarfalld: the termination signal cannot be caught: {error}");
+            eprintln!("medlarfalld: cannot install the handler of SIGTERM: {error}");
             return ExitCode::FAILURE;
         }
     };
--- a/programs/src/caller.rs
+++ b/programs/src/caller.rs
@@ -1,4 +1,4 @@
-//! The client side of the callers' port.
+//! Client of the callers' port: requests generations, reads their streams and calls plain services.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,16 +17,18 @@
 
 pub use answer::Answer;
 
-/// Longest time to connect to an entry.
+/// Timeout for connecting to an entry.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a call failed.
+/// Errors of a request to an entry.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
     /// The entry could not be reached, or the connection was lost.
-    #[snafu(display("the entry cannot be reached or was lost: {reason}; try another entry"))]
+    #[snafu(display(
+        "cannot connect to the entry, or lost the connection: {reason}; try another entry"
+    ))]
     Disconnected {
-        /// What happened.
+        /// Text of the underlying error.
         reason: String,
     },
     /// The entry answered with an error.
@@ -42,33 +44,33 @@
 /// A request for a generation.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct Completion {
-    /// Service that is asked.
+    /// Name of the generation service.
     pub model: String,
     /// The prompt.
     pub prompt: String,
-    /// Most tokens of the whole answer.
+    /// Maximum number of tokens of the complete answer.
     pub max_tokens: u64,
     /// Whether the answer is streamed.
     pub stream: bool,
 }
 
-/// A request to go on with a generation.
+/// A request to resume a generation, with the tokens received so far.
 #[derive(Serialize)]
-struct Return<'a> {
+struct Resumption<'a> {
     #[serde(flatten)]
     completion: &'a Completion,
     tokens: &'a [String],
 }
 
-/// A part of an answer, or a whole one.
+/// One event of a streamed answer, or a complete answer that is not streamed.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Chunk {
     /// Resume token: the `id:` of the event.
     #[serde(skip)]
     pub resume_token: Option<String>,
-    /// Version that answered.
+    /// Version of the service that generated the text.
     pub version: String,
-    /// The text, one choice.
+    /// The generated text; entries return a single choice.
     pub choices: Vec<Choice>,
 }
 
@@ -79,24 +81,24 @@
     pub text: String,
     /// Index of the token.
     pub token_index: Option<u64>,
-    /// Why the answer ended, on its last chunk.
+    /// Reason for the end of the answer; set on its last chunk only.
     pub finish_reason: Option<String>,
 }
 
-/// A whole answer to a plain call.
+/// A complete response of a plain service.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Value of the header `medlarfall-run`.
+    /// Value of the header `medlarfall-run`: whether the call ran.
     pub run: String,
-    /// Identifier that the entry gave the request.
+    /// Identifier that the entry assigned to the request.
     pub request_id: String,
     /// Body.
     pub body: String,
 }
 
-/// A client account's connection to one entry.
+/// A client of one entry that authenticates as a client account.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -112,13 +114,14 @@
 }
 
 impl Caller {
-    /// Returns a caller that talks to `entry` with `key`.
+    /// Returns a client of the entry at `entry` that authenticates with `key`.
     #[must_use]
     pub fn new(entry: SocketAddr, key: &str) -> Self {
         Self::with_receive_buffer(entry, key, None)
     }
 
-    /// Returns a caller whose connections hold up to `bytes` that it has not read.
+    /// Returns a client like [`Caller::new`] does, with a receive buffer of `bytes` for each of its
+    /// connections; `None` leaves the size to the operating system.
     #[must_use]
     pub fn with_receive_buffer(entry: SocketAddr, key: &str, bytes: Option<usize>) -> Self {
         let mut connector = HttpConnector::new();
@@ -132,26 +135,27 @@
         }
     }
 
-    /// Asks for a generation and returns its stream.
+    /// Requests a generation and returns its stream.
     ///
     /// # Errors
     ///
-    /// Returns the entry's error, or that it was lost.
+    /// Returns the entry's error, or [`Error::Disconnected`] if the connection failed.
     pub async fn stream(&self, completion: &Completion) -> Result<Stream, Error> {
         let completion = Completion {
             stream: true,
             ..completion.clone()
         };
-        let body = serde_json::to_string(&completion).map_err(lost)?;
-        Ok(Stream::new(self.complete(body, None).await?))
+        let body = serde_json::to_string(&completion).map_err(disconnected)?;
+        Ok(Stream::new(self.post_completion(body, None).await?))
     }
 
-    /// Goes on with a generation that another entry began, after the event with `resume_token`.
-    /// `tokens` are all those received; without them the entry may have to generate them again.
+    /// Resumes a generation that another entry started, after the event with `resume_token`.
+    /// `tokens` are all tokens received so far; without them the entry may have to generate them
+    /// again.
     ///
     /// # Errors
     ///
-    /// Returns the entry's error, or that it was lost.
+    /// Returns the entry's error, or [`Error::Disconnected`] if the connection failed.
     pub async fn resume(
         &self,
         completion: &Completion,
@@ -163,23 +167,25 @@
             ..completion.clone()
         };
         let body = match tokens {
-            Some(tokens) => serde_json::to_string(&Return { completion, tokens }),
+            Some(tokens) => serde_json::to_string(&Resumption { completion, tokens }),
             None => serde_json::to_string(completion),
         };
-        let body = body.map_err(lost)?;
-        Ok(Stream::new(self.complete(body, Some(resume_token)).await?))
+        let body = body.map_err(disconnected)?;
+        Ok(Stream::new(
+            self.post_completion(body, Some(resume_token)).await?,
+        ))
     }
 
-    /// Asks for a generation and returns the text of the whole answer.
+    /// Requests a generation and returns the text of the complete answer.
     ///
     /// # Errors
     ///
-    /// Returns the entry's error, or that it was lost.
+    /// Returns the entry's error, or [`Error::Disconnected`] if the connection failed.
     pub async fn generate(&self, completion: &Completion) -> Result<String, Error> {
-        let body = serde_json::to_string(completion).map_err(lost)?;
-        let response = self.complete(body, None).await?;
-        let body = read(response.into_body()).await?;
-        let chunk: Chunk = serde_json::from_slice(&body).map_err(lost)?;
+        let body = serde_json::to_string(completion).map_err(disconnected)?;
+        let response = self.post_completion(body, None).await?;
+        let body = read_body(response.into_body()).await?;
+        let chunk: Chunk = serde_json::from_slice(&body).map_err(disconnected)?;
         Ok(chunk
             .choices
             .into_iter()
@@ -191,16 +197,18 @@
     ///
     /// # Errors
     ///
-    /// Returns that the entry was lost; its refusals are replies.
+    /// Returns [`Error::Disconnected`] if the connection failed; a refusal by the entry is a reply,
+    /// not an error.
     pub async fn call(&self, method: Method, path: &str, body: &str) -> Result<Reply, Error> {
         self.call_with_headers(method, path, body, &[]).await
     }
 
-    /// Calls a plain service with more headers, such as `idempotency-key`.
+    /// Calls a plain service with additional headers, such as `idempotency-key`.
     ///
     /// # Errors
     ///
-    /// Returns that the entry was lost; its refusals are replies.
+    /// Returns [`Error::Disconnected`] if the connection failed; a refusal by the entry is a reply,
+    /// not an error.
     pub async fn call_with_headers(
         &self,
         method: Method,
@@ -210,9 +218,9 @@
     ) -> Result<Reply, Error> {
         let response = self.send(method, path, body.to_owned(), headers).await?;
         let status = response.status().as_u16();
-        let run = header(&response, "medlarfall-run");
-        let request_id = header(&response, "medlarfall-request-id");
-        let body = read(response.into_body()).await?;
+        let run = header_value(&response, "medlarfall-run");
+        let request_id = header_value(&response, "medlarfall-request-id");
+        let body = read_body(response.into_body()).await?;
         Ok(Reply {
             status,
             run,
@@ -221,8 +229,8 @@
         })
     }
 
-    /// Sends a request for a generation.
-    async fn complete(
+    /// Sends a request for a generation, to be resumed after `resume_token` if there is one.
+    async fn post_completion(
         &self,
         body: String,
         resume_token: Option<&str>,
@@ -237,14 +245,14 @@
             return Ok(response);
         }
         let status = response.status().as_u16();
-        let body = read(response.into_body()).await?;
+        let body = read_body(response.into_body()).await?;
         Err(Error::Refused {
             status,
             body: String::from_utf8_lossy(&body).into_owned(),
         })
     }
 
-    /// Sends a request with more headers.
+    /// Sends a request with additional headers.
     async fn send(
         &self,
         method: Method,
@@ -260,13 +268,15 @@
         for (name, value) in headers {
             request = request.header(*name, *value);
         }
-        let request = request.body(Full::new(Bytes::from(body))).map_err(lost)?;
-        self.client.request(request).await.map_err(lost)
+        let request = request
+            .body(Full::new(Bytes::from(body)))
+            .map_err(disconnected)?;
+        self.client.request(request).await.map_err(disconnected)
     }
 }
 
 impl Stream {
-    /// Returns the stream of an answer that has begun.
+    /// Returns the stream in the body of a response.
     fn new(response: Response<Incoming>) -> Self {
         Self {
             body: response.into_body(),
@@ -274,16 +284,16 @@
         }
     }
 
-    /// Returns the next chunk, or nothing when the answer is whole.
+    /// Returns the next chunk, or `None` at the end of the response's body.
     ///
     /// # Errors
     ///
-    /// Returns the entry's error, or that the stream was lost.
+    /// Returns the entry's error, or [`Error::Disconnected`] if the connection failed.
     pub async fn next(&mut self) -> Result<Option<Chunk>, Error> {
         loop {
             if let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") {
                 let event = self.buffer.split_to(end + 2);
-                if let Some(chunk) = parse(&String::from_utf8_lossy(&event))? {
+                if let Some(chunk) = parse_event(&String::from_utf8_lossy(&event))? {
                     return Ok(Some(chunk));
                 }
                 continue;
@@ -292,32 +302,32 @@
                 Some(Ok(frame)) => self
                     .buffer
                     .extend_from_slice(frame.data_ref().map_or(&[], |data| data)),
-                Some(Err(error)) => return Err(lost(error)),
+                Some(Err(error)) => return Err(disconnected(error)),
                 None => return Ok(None),
             }
         }
     }
 
-    /// Reads the rest of the answer and returns its text and whether it was whole.
+    /// Reads the rest of the answer; returns its text and whether the answer is complete.
     ///
     /// # Errors
     ///
-    /// Returns the entry's error, or that the stream was lost.
+    /// Returns the entry's error, or [`Error::Disconnected`] if the connection failed.
     pub async fn text(&mut self) -> Result<(String, bool), Error> {
         let mut text = String::new();
-        let mut whole = false;
+        let mut complete = false;
         while let Some(chunk) = self.next().await? {
             for choice in chunk.choices {
                 text.push_str(&choice.text);
-                whole |= choice.finish_reason.is_some();
+                complete |= choice.finish_reason.is_some();
             }
         }
-        Ok((text, whole))
+        Ok((text, complete))
     }
 }
 
-/// Returns the chunk in a server-sent event, or nothing for a comment.
-fn parse(event: &str) -> Result<Option<Chunk>, Error> {
+/// Returns the chunk in a server-sent event, or `None` for a comment.
+fn parse_event(event: &str) -> Result<Option<Chunk>, Error> {
     let failed = event
         .lines()
         .any(|line| line == "event: error" || line == "event:error");
@@ -333,7 +343,7 @@
             body: data,
         }),
         data => {
-            let mut chunk: Chunk = serde_json::from_str(data).map_err(lost)?;
+            let mut chunk: Chunk = serde_json::from_str(data).map_err(disconnected)?;
             let id = event.lines().find_map(|line| line.strip_prefix("id:"));
             chunk.resume_token = id.map(|id| id.trim().to_owned());
             Ok(Some(chunk))
@@ -341,23 +351,23 @@
     }
 }
 
-/// Returns the text of a header, or nothing.
-fn header(response: &Response<Incoming>, name: &str) -> String {
+/// Returns the value of a header, or an empty string if it is missing or not text.
+fn header_value(response: &Response<Incoming>, name: &str) -> String {
     let value = response.headers().get(name);
     let text = value.and_then(|value| value.to_str().ok());
     text.unwrap_or_default().to_owned()
 }
 
-/// Reads a body.
-async fn read(body: Incoming) -> Result<Bytes, Error> {
+/// Reads a response's body to its end.
+async fn read_body(body: Incoming) -> Result<Bytes, Error> {
     body.collect()
         .await
         .map(http_body_util::Collected::to_bytes)
-        .map_err(lost)
+        .map_err(disconnected)
 }
 
-/// Returns the error of a lost entry.
-fn lost(error: impl std::error::Error) -> Error {
+/// Returns the error of a failed connection, with the underlying cause if there is one.
+fn disconnected(error: impl std::error::Error) -> Error {
     let mut reason = error.to_string();
     if let Some(source) = error.source() {
         reason = format!("{reason}: {source}");
--- a/programs/src/caller/answer.rs
+++ b/programs/src/caller/answer.rs
@@ -1,20 +1,20 @@
-//! An answer that goes on at another entry when its entry is lost.
+//! A streamed answer that is resumed at another entry when its entry fails.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::{Caller, Chunk, Completion, Error, Stream};
 
-/// How often all entries are tried in a row without a token.
-const ROUNDS: usize = 20;
+/// Rounds over all entries that may fail in succession, without a token, before the answer fails.
+const MAX_ROUNDS: usize = 20;
 
-/// Pause after each round.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Pause after each round over all entries.
+const ROUND_PAUSE: Duration = Duration::from_millis(250);
 
-/// Longest silence of an entry that is borne.
+/// Time without data after which an entry is taken for failed.
 const SILENCE_LIMIT: Duration = Duration::from_secs(30);
 
-/// A streamed answer and what is needed to go on with it.
+/// A streamed answer and the state needed to resume it.
 #[derive(Debug)]
 pub struct Answer {
     callers: Vec<Caller>,
@@ -23,12 +23,13 @@
     stream: Option<Stream>,
     tokens: Vec<String>,
     resume_token: Option<String>,
-    whole: bool,
-    losses: usize,
+    complete: bool,
+    failovers: usize,
 }
 
 impl Answer {
-    /// Returns the answer to a completion that is asked for at the first of `entries`.
+    /// Returns the answer to `completion`, which is requested from the first of `entries` and from
+    /// the next one after each failure. The first call of [`Answer::next`] sends the request.
     #[must_use]
     pub fn new(entries: &[SocketAddr], key: &str, completion: Completion) -> Self {
         let callers = entries.iter().map(|entry| Caller::new(*entry, key));
@@ -39,18 +40,18 @@
             stream: None,
             tokens: Vec::new(),
             resume_token: None,
-            whole: false,
-            losses: 0,
+            complete: false,
+            failovers: 0,
         }
     }
 
-    /// Returns how often the answer went on at another entry.
+    /// Returns how often the answer has changed to another entry.
     #[must_use]
     pub fn failovers(&self) -> usize {
-        self.losses
+        self.failovers
     }
 
-    /// Returns the address of the entry that answers now.
+    /// Returns the address of the entry in use.
     #[must_use]
     pub fn entry(&self) -> Option<SocketAddr> {
         let count = self.callers.len().max(1);
@@ -71,67 +72,67 @@
         self.tokens.concat()
     }
 
-    /// Returns the next chunk, or nothing when the answer is whole.
+    /// Returns the next chunk, or `None` once the answer is complete.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal, or that no entry can be reached.
+    /// Returns the entry's refusal, or the last error once all entries have failed repeatedly.
     pub async fn next(&mut self) -> Result<Option<Chunk>, Error> {
-        let mut fruitless = 0;
+        let mut failures = 0;
         loop {
-            if self.whole {
+            if self.complete {
                 return Ok(None);
             }
-            let error = match self.step().await {
+            let error = match self.read_chunk().await {
                 Ok(chunk) => {
-                    self.note(&chunk);
+                    self.record(&chunk);
                     return Ok(Some(chunk));
                 }
                 Err(error) => error,
             };
-            fruitless += 1;
-            let given_up = fruitless >= self.callers.len() * ROUNDS;
-            if given_up || !self.may_go_on(&error) {
+            failures += 1;
+            let exhausted = failures >= self.callers.len() * MAX_ROUNDS;
+            if exhausted || !self.can_fail_over(&error) {
                 return Err(error);
             }
-            self.change_entry(fruitless).await;
+            self.change_entry(failures).await;
         }
     }
 
-    /// Reads the rest of the answer.
+    /// Reads the rest of the answer and returns its whole text.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal, or that no entry can be reached.
+    /// Returns the entry's refusal, or the last error once all entries have failed repeatedly.
     pub async fn finish(&mut self) -> Result<String, Error> {
         while self.next().await?.is_some() {}
         Ok(self.text())
     }
 
-    /// Reads one chunk at the current entry.
-    async fn step(&mut self) -> Result<Chunk, Error> {
+    /// Reads one chunk from the current entry, after opening a stream if none is open.
+    async fn read_chunk(&mut self) -> Result<Chunk, Error> {
         if self.callers.is_empty() {
             return Err(Error::Disconnected {
-                reason: "no entry was named".to_owned(),
+                reason: "no entry address was given".to_owned(),
             });
         }
-        let silent = |_| Error::Disconnected {
-            reason: "the entry fell silent".to_owned(),
+        let timed_out = |_| Error::Disconnected {
+            reason: "timed out waiting for data from the entry".to_owned(),
         };
         if self.stream.is_none() {
-            let stream = tokio::time::timeout(SILENCE_LIMIT, self.ask()).await;
-            self.stream = Some(stream.map_err(silent)??);
+            let stream = tokio::time::timeout(SILENCE_LIMIT, self.open_stream()).await;
+            self.stream = Some(stream.map_err(timed_out)??);
         }
-        let cut = || Error::Disconnected {
-            reason: "the stream ended early".to_owned(),
+        let truncated = || Error::Disconnected {
+            reason: "the stream ended before the answer was complete".to_owned(),
         };
-        let stream = self.stream.as_mut().ok_or_else(cut)?;
+        let stream = self.stream.as_mut().ok_or_else(truncated)?;
         let next = tokio::time::timeout(SILENCE_LIMIT, stream.next()).await;
-        next.map_err(silent)??.ok_or_else(cut)
+        next.map_err(timed_out)??.ok_or_else(truncated)
     }
 
-    /// Asks the current entry for the answer, or for the rest of it.
-    async fn ask(&self) -> Result<Stream, Error> {
+    /// Requests the answer, or the rest of it, from the current entry.
+    async fn open_stream(&self) -> Result<Stream, Error> {
         let caller = &self.callers[self.current % self.callers.len()];
         match &self.resume_token {
             None => caller.stream(&self.completion).await,
@@ -142,19 +143,20 @@
         }
     }
 
-    /// Notes a chunk that has been received.
-    fn note(&mut self, chunk: &Chunk) {
+    /// Records a received chunk: its resume token, its text and whether it ends the answer.
+    fn record(&mut self, chunk: &Chunk) {
         if chunk.resume_token.is_some() {
             self.resume_token.clone_from(&chunk.resume_token);
             let text = chunk.choices.iter().map(|choice| choice.text.as_str());
             self.tokens.push(text.collect());
         }
         let ended = |choice: &super::Choice| choice.finish_reason.is_some();
-        self.whole = chunk.choices.iter().any(ended);
+        self.complete = chunk.choices.iter().any(ended);
     }
 
-    /// Returns whether another entry may do better.
-    fn may_go_on(&self, error: &Error) -> bool {
+    /// Returns whether the request may succeed at another entry: after a failed connection, or a
+    /// refusal of the kind `unavailable`.
+    fn can_fail_over(&self, error: &Error) -> bool {
         match error {
             _ if self.callers.is_empty() => false,
             Error::Disconnected { .. } => true,
@@ -162,13 +164,13 @@
         }
     }
 
-    /// Goes to the next entry, after a pause if all were tried in vain.
-    async fn change_entry(&mut self, fruitless: usize) {
+    /// Changes to the next entry; pauses first if every entry has failed in this round.
+    async fn change_entry(&mut self, failures: usize) {
         self.stream = None;
         self.current += 1;
-        self.losses += 1;
-        if fruitless.is_multiple_of(self.callers.len()) {
-            tokio::time::sleep(PAUSE).await;
+        self.failovers += 1;
+        if failures.is_multiple_of(self.callers.len()) {
+            tokio::time::sleep(ROUND_PAUSE).await;
         }
     }
 }
--- a/programs/src/cluster.rs
+++ b/programs/src/cluster.rs
@@ -1,4 +1,5 @@
-//! An embedded cluster: entries and stand-ins as tasks of one process on loopback.
+//! Embedded cluster for tests, benchmarks and the demo. Entries and stand-ins run as tasks of one
+//! process and listen on loopback addresses.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,50 +17,50 @@
 use crate::caller::Caller;
 use crate::operator::Operator;
 
-/// Key of the caller that the cluster knows as [`ACCOUNT`].
+/// Key of the client account [`ACCOUNT`].
 pub const CALLER_KEY: &str = "caller-key-of-the-demo";
 
 /// Client account that [`CALLER_KEY`] belongs to.
 pub const ACCOUNT: &str = "demo";
 
-/// Key of the operators.
+/// Key that authenticates operators.
 pub const OPERATOR_KEY: &str = "operator-key-of-the-demo";
 
-/// Service that generates.
+/// Name of the generation service.
 pub const BRIEFS: &str = "briefs";
 
-/// Plain service.
+/// Name of the plain service.
 pub const TRACKER: &str = "tracker";
 
 /// Region of every instance.
 const REGION: &str = "region-1";
 
-/// Pause between two looks at a condition.
+/// Interval at which [`wait_until`] polls its condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Longest wait for a condition.
+/// Time after which [`wait_until`] gives up.
 const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
-/// Why a cluster could not be brought up.
+/// Errors of starting a cluster or waiting for a condition.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A part of the cluster could not start.
-    #[snafu(display("{part} could not start: {reason}"))]
+    /// A component of the cluster could not start.
+    #[snafu(display("{component} could not start: {reason}"))]
     Start {
-        /// The part.
-        part: String,
-        /// What happened.
+        /// The component.
+        component: String,
+        /// Text of the underlying error.
         reason: String,
     },
-    /// A condition did not come about.
-    #[snafu(display("waited {} s in vain until {condition}", WAIT_LIMIT.as_secs()))]
+    /// A condition did not hold in time.
+    #[snafu(display("timed out after {} s waiting until {condition}", WAIT_LIMIT.as_secs()))]
     Wait {
         /// The condition.
         condition: &'static str,
     },
 }
 
-/// What a cluster is made of.
+/// Size and configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// Number of failure domains.
@@ -70,9 +71,9 @@
     pub engines: usize,
     /// Number of instances behind [`TRACKER`], spread over the failure domains.
     pub services: usize,
-    /// How each engine is started.
+    /// Configuration of every engine.
     pub engine: engine::Config,
-    /// Changes the settings of each entry, by its index.
+    /// Modifies the settings of an entry before it starts; takes the index of the entry.
     pub adjust_settings: fn(usize, &mut Settings),
 }
 
@@ -89,36 +90,36 @@
     }
 }
 
-/// An engine of the cluster.
+/// A stand-in engine of the cluster.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// The engine.
+    /// Handle of the engine.
     pub engine: engine::Engine,
-    /// Its server.
+    /// HTTP server that it listens on.
     pub server: Server,
-    /// Its entry on the instance list.
+    /// Its record on the platform's instance list.
     pub instance: Instance,
 }
 
 /// An instance of the plain service.
 #[derive(Clone, Debug)]
 pub struct PlainService {
-    /// The service.
+    /// Handle of the service.
     pub service: service::Service,
-    /// Its server.
+    /// HTTP server that it listens on.
     pub server: Server,
-    /// Its entry on the instance list.
+    /// Its record on the platform's instance list.
     pub instance: Instance,
 }
 
 /// A running cluster.
 #[derive(Debug)]
 pub struct Cluster {
-    /// What the cluster was made from.
+    /// Plan that the cluster was started from.
     pub plan: Plan,
-    /// The platform.
+    /// Stand-in for the platform.
     pub platform: platform::Platform,
-    /// The platform's server.
+    /// HTTP server of the platform.
     pub platform_server: Server,
     /// The engines.
     pub engines: Vec<Engine>,
@@ -129,15 +130,16 @@
 }
 
 impl Cluster {
-    /// Brings up a cluster, declares its services and waits until every entry serves them.
+    /// Starts a cluster, declares its services and waits until every entry knows the services and
+    /// all backend servers.
     ///
     /// # Errors
     ///
-    /// Returns which part could not start, or what was waited for in vain.
+    /// Returns the component that could not start, or the condition that did not hold in time.
     pub async fn start(plan: Plan) -> Result<Self, Error> {
         let (platform, platform_server) = platform::start(platform::Config::default())
             .await
-            .map_err(|error| failed("the platform", &error))?;
+            .map_err(|error| start_error("the platform", &error))?;
         let mut cluster = Self {
             plan: plan.clone(),
             platform,
@@ -155,16 +157,16 @@
         for _ in 0..plan.entries {
             cluster.add_entry().await?;
         }
-        cluster.declare().await?;
-        cluster.ready().await?;
+        cluster.declare_services().await?;
+        cluster.wait_until_ready().await?;
         Ok(cluster)
     }
 
-    /// Starts one more engine and puts it on the instance list.
+    /// Starts another engine and registers it on the instance list.
     ///
     /// # Errors
     ///
-    /// Returns that it could not start.
+    /// Returns [`Error::Start`] if it could not start.
     pub async fn add_engine(&mut self, config: engine::Config) -> Result<(), Error> {
         let index = self.engines.len();
         let mut instance = self.instance("engine", BRIEFS, index);
@@ -172,7 +174,7 @@
         instance.memory_tokens = config.memory_tokens;
         let (engine, server) = engine::start(config)
             .await
-            .map_err(|error| failed(&instance.name, &error))?;
+            .map_err(|error| start_error(&instance.name, &error))?;
         instance.address = server.address.to_string();
         self.platform.register(instance.clone());
         self.engines.push(Engine {
@@ -183,18 +185,18 @@
         Ok(())
     }
 
-    /// Starts one more instance of the plain service and puts it on the instance list.
+    /// Starts another instance of the plain service and registers it on the instance list.
     ///
     /// # Errors
     ///
-    /// Returns that it could not start.
+    /// Returns [`Error::Start`] if it could not start.
     pub async fn add_service(&mut self, config: service::Config) -> Result<(), Error> {
         let index = self.services.len();
         let mut instance = self.instance("service", TRACKER, index);
         instance.version.clone_from(&config.version);
         let (service, server) = service::start(config)
             .await
-            .map_err(|error| failed(&instance.name, &error))?;
+            .map_err(|error| start_error(&instance.name, &error))?;
         instance.address = server.address.to_string();
         self.platform.register(instance.clone());
         self.services.push(PlainService {
@@ -205,11 +207,11 @@
         Ok(())
     }
 
-    /// Starts one more entry and puts it on the instance list.
+    /// Starts another entry and registers it on the instance list.
     ///
     /// # Errors
     ///
-    /// Returns that it could not start.
+    /// Returns [`Error::Start`] if it could not start.
     pub async fn add_entry(&mut self) -> Result<(), Error> {
         let index = self.entries.len();
         let mut settings = self.settings(index);
@@ -217,7 +219,7 @@
         let name = settings.entry.name.to_string();
         let entry = entry::start(settings)
             .await
-            .map_err(|error| failed(&name, &error))?;
+            .map_err(|error| start_error(&name, &error))?;
         let mut instance = self.instance("entry", "", index);
         instance.address = entry.addresses.peers.to_string();
         self.platform.register(instance);
@@ -225,36 +227,36 @@
         Ok(())
     }
 
-    /// Returns a caller of one entry.
+    /// Returns a client of the callers' port of an entry.
     #[must_use]
     pub fn caller(&self, entry: usize) -> Caller {
         Caller::new(self.entries[entry].addresses.callers, CALLER_KEY)
     }
 
-    /// Returns an operator at one entry.
+    /// Returns a client of the operators' port of an entry.
     ///
     /// # Errors
     ///
-    /// Returns that the connection could not be set up.
+    /// Returns [`Error::Start`] if the client could not be set up.
     pub fn operator(&self, entry: usize) -> Result<Operator, Error> {
         let address = self.entries[entry].addresses.operators;
-        Operator::new(address, OPERATOR_KEY).map_err(|error| failed("the operator", &error))
+        Operator::new(address, OPERATOR_KEY).map_err(|error| start_error("the operator", &error))
     }
 
     /// Declares the services.
-    async fn declare(&self) -> Result<(), Error> {
+    async fn declare_services(&self) -> Result<(), Error> {
         let mut operator = self.operator(0)?;
         for service in [briefs(&self.plan.engine.version), tracker("v1")] {
             operator
                 .apply(service)
                 .await
-                .map_err(|error| failed("the declaration", &error))?;
+                .map_err(|error| start_error("the declaration", &error))?;
         }
         Ok(())
     }
 
-    /// Waits until every entry has the declarations and backend servers.
-    async fn ready(&self) -> Result<(), Error> {
+    /// Waits until every entry knows the declarations and backend servers.
+    async fn wait_until_ready(&self) -> Result<(), Error> {
         let servers = self.engines.len() + self.services.len();
         wait_until("every entry knows the services and backend servers", || {
             self.entries.iter().all(|entry| {
@@ -266,7 +268,7 @@
         .await
     }
 
-    /// Returns an instance for the list, still without address and version.
+    /// Returns the record of an instance without its address and version.
     fn instance(&self, role: &str, service: &str, index: usize) -> Instance {
         Instance {
             name: format!("{role}-{index}"),
@@ -278,12 +280,13 @@
         }
     }
 
-    /// Returns the failure domain of the instance with an index.
+    /// Returns the failure domain of an instance; indexes are spread evenly over the failure
+    /// domains.
     fn failure_domain(&self, index: usize) -> String {
         format!("domain-{}", index % self.plan.failure_domains)
     }
 
-    /// Returns the settings of the entry with an index.
+    /// Returns the settings of an entry, with the entries started so far as its seeds.
     fn settings(&self, index: usize) -> Settings {
         let name = format!("entry-{index}");
         let platform = self.platform_server.address;
@@ -298,10 +301,10 @@
     }
 }
 
-/// Returns the settings of an entry, with defaults and ports that the operating system chooses.
+/// Returns default settings of an entry; the operating system chooses its ports.
 #[must_use]
 pub fn settings(name: &str, failure_domain: &str, platform: SocketAddr) -> Settings {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
+    let loopback = SocketAddr::from(([127, 0, 0, 1], 0));
     Settings {
         entry: configs::entry::Entry {
             name: Arc::from(name),
@@ -309,10 +312,10 @@
             region: Arc::from(REGION),
         },
         listen: configs::listen::Listen {
-            callers: any,
-            operators: any,
-            peers: any,
-            metrics: any,
+            callers: loopback,
+            operators: loopback,
+            peers: loopback,
+            metrics: loopback,
         },
         platform: configs::platform::Platform::new(platform),
         keys: keys(),
@@ -328,7 +331,7 @@
     }
 }
 
-/// Returns the keys of every entry.
+/// Returns the keys that all entries of a cluster share.
 fn keys() -> configs::keys::Keys {
     let secret = configs::keys::Secret::new;
     configs::keys::Keys {
@@ -339,7 +342,7 @@
     }
 }
 
-/// Returns the declaration of the service that generates.
+/// Returns the declaration of the generation service.
 #[must_use]
 pub fn briefs(version: &str) -> Service {
     Service {
@@ -366,11 +369,11 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Polls a condition until it holds.
 ///
 /// # Errors
 ///
-/// Returns the condition that did not come about.
+/// Returns [`Error::Wait`] if the condition does not hold in time.
 pub async fn wait_until(
     condition: &'static str,
     mut holds: impl FnMut() -> bool,
@@ -384,10 +387,10 @@
     waited.map_err(|_| Error::Wait { condition })
 }
 
-/// Returns the error of a part that could not start.
-fn failed(part: &str, error: &impl ToString) -> Error {
+/// Returns the error of a component that could not start.
+fn start_error(component: &str, error: &impl ToString) -> Error {
     Error::Start {
-        part: part.to_owned(),
+        component: component.to_owned(),
         reason: error.to_string(),
     }
 }
--- a/programs/src/commands.rs
+++ b/programs/src/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands of the command line.
+//! Subcommands of the command line.
 
 use std::error::Error;
 use std::ffi::OsStr;
@@ -20,14 +20,14 @@
 pub mod moves;
 pub mod stops;
 
-/// What a subcommand returns.
+/// Result of a subcommand.
 pub type Result = std::result::Result<(), Box<dyn Error>>;
 
-/// Checks a settings file.
+/// Checks a settings file and prints the name of its entry.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with it.
+/// Returns the first error found in the file.
 pub fn check(path: &Path, json: bool) -> Result {
     let name = if is_yaml(path) {
         medlarfall_platform::settings::read(path)?.relay.entry
@@ -43,21 +43,21 @@
     Ok(())
 }
 
-/// Returns whether a file is one of the users' platform, whose settings are YAML.
+/// Returns whether a settings file is one for the users' platform, which are in YAML.
 fn is_yaml(path: &Path) -> bool {
     let extension = path.extension().and_then(OsStr::to_str);
     matches!(extension, Some("yaml" | "yml"))
 }
 
-/// Declares the service in a TOML file.
+/// Declares the service in a TOML file; with `wait`, waits until every live entry has confirmed it.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the file, or the entry's refusal.
+/// Returns the error in the file, the entry's refusal, or the entries that have not confirmed.
 pub async fn apply(entry: SocketAddr, key: &str, path: &Path, wait: bool, json: bool) -> Result {
     let text = fs::read_to_string(path)
-        .map_err(|error| format!("{}: cannot be read: {error}", path.display()))?;
-    let service = parse(&text, path)?;
+        .map_err(|error| format!("cannot read {}: {error}", path.display()))?;
+    let service = parse_declaration(&text, path)?;
     let request = rpc::ApplyRequest {
         service: Some(service),
         change_id: Uuid::now_v7().to_string(),
@@ -67,7 +67,7 @@
     let reply = Operator::new(entry, key)?
         .apply_request(request)
         .await
-        .map_err(|status| message(&status))?;
+        .map_err(|status| status_message(&status))?;
     let stored = reply.service.unwrap_or_default();
     if json {
         println!("{}", serde_json::to_string(&stored)?);
@@ -77,7 +77,7 @@
     if wait && !reply.missing.is_empty() {
         let missing = reply.missing.join(", ");
         return Err(format!(
-            "stored, but not confirmed by {missing}; they take it when they are reached"
+            "stored, but not confirmed by {missing}; these entries apply it once they can be reached"
         )
         .into());
     }
@@ -91,12 +91,12 @@
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal.
+/// Returns the message of the entry's refusal.
 pub async fn list(entry: SocketAddr, key: &str, json: bool) -> Result {
     for service in Operator::new(entry, key)?
         .list()
         .await
-        .map_err(|status| message(&status))?
+        .map_err(|status| status_message(&status))?
     {
         if json {
             println!("{}", serde_json::to_string(&service)?);
@@ -110,16 +110,16 @@
     Ok(())
 }
 
-/// Prints what an entry knows of the system.
+/// Prints an entry's view of the system: the state of the store and the backend servers.
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal.
+/// Returns the message of the entry's refusal.
 pub async fn status(entry: SocketAddr, key: &str) -> Result {
     let status = Operator::new(entry, key)?
         .status()
         .await
-        .map_err(|status| message(&status))?;
+        .map_err(|status| status_message(&status))?;
     println!(
         "entry {}; store reachable: {}",
         status.entry, status.store_reachable
@@ -134,11 +134,11 @@
     Ok(())
 }
 
-/// Asks for a generation and prints it as it comes; goes on at another entry when one is lost.
+/// Requests a generation and prints it as it arrives; resumes it at another entry when one fails.
 ///
 /// # Errors
 ///
-/// Returns the last entry's error.
+/// Returns the error of the last entry that was tried.
 pub async fn generate(entries: &[SocketAddr], key: &str, completion: &Completion) -> Result {
     let mut answer = Answer::new(entries, key, completion.clone());
     while let Some(chunk) = answer.next().await? {
@@ -151,8 +151,8 @@
     Ok(())
 }
 
-/// Reads a declaration; unknown keys are refused.
-fn parse(text: &str, path: &Path) -> std::result::Result<Service, Box<dyn Error>> {
+/// Parses a declaration in TOML; rejects unknown keys.
+fn parse_declaration(text: &str, path: &Path) -> std::result::Result<Service, Box<dyn Error>> {
     let mut unknown = Vec::new();
     let source =
         toml::Deserializer::parse(text).map_err(|error| format!("{}: {error}", path.display()))?;
@@ -162,7 +162,7 @@
         None => Ok(service),
         Some(key) => {
             let message = format!(
-                "{}: `{key}` is no key of a declaration; see docs/OPERATORS.md",
+                "{}: unknown key `{key}` in a declaration; see docs/OPERATORS.md",
                 path.display()
             );
             Err(message.into())
@@ -170,7 +170,7 @@
     }
 }
 
-/// Returns the message of a refusal.
-fn message(status: &tonic::Status) -> String {
+/// Returns the message of a status.
+fn status_message(status: &tonic::Status) -> String {
     status.message().to_owned()
 }
--- a/programs/src/commands/explain.rs
+++ b/programs/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! Merges the log lines of several entries into the timeline of one request.
+//! `medlarfall explain`: merges the logs of several entries into the timeline of one request.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -9,7 +9,8 @@
 
 use super::Result;
 
-/// A log line, as far as it is used. A collector may have put text before it.
+/// The fields of a log line that the timeline shows. A log collector may have added text before the
+/// JSON object.
 #[derive(Debug, Deserialize)]
 struct Line {
     timestamp: String,
@@ -19,18 +20,18 @@
     kvs: BTreeMap<String, Value>,
 }
 
-/// A line that touches the request.
+/// A log line about the request.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Moment {
-    /// When it was written, in RFC 3339.
+pub struct Event {
+    /// Time of the log line, in RFC 3339.
     pub timestamp: String,
-    /// File that it stands in.
+    /// Name of the log file.
     pub source: String,
-    /// Level.
+    /// Log level.
     pub level: String,
-    /// What happened.
+    /// Message.
     pub message: String,
-    /// The inputs and the outcome.
+    /// The other log fields, as `name=value` separated by spaces.
     pub fields: String,
 }
 
@@ -38,42 +39,42 @@
 ///
 /// # Errors
 ///
-/// Returns a file that can't be read, or that no line names the request.
+/// Returns an error if a file cannot be read or no line is about the request.
 pub fn run(request: &str, logs: &[PathBuf]) -> Result {
-    let mut moments = Vec::new();
+    let mut events = Vec::new();
     for path in logs {
         let text = fs::read_to_string(path)
-            .map_err(|error| format!("{} can't be read: {error}", path.display()))?;
+            .map_err(|error| format!("cannot read {}: {error}", path.display()))?;
         let source = path.file_name().unwrap_or_default().to_string_lossy();
-        moments.extend(timeline(request, &source, &text));
+        events.extend(timeline(request, &source, &text));
     }
-    if moments.is_empty() {
+    if events.is_empty() {
         return Err(format!(
-            "no line names request {request}; give the logs of all entries of that time"
+            "no log line about request {request}; pass the logs that all entries wrote at that time"
         )
         .into());
     }
-    moments.sort_by(|left, right| left.timestamp.cmp(&right.timestamp));
-    for moment in moments {
-        let Moment {
+    events.sort_by(|left, right| left.timestamp.cmp(&right.timestamp));
+    for event in events {
+        let Event {
             timestamp,
             source,
             level,
             message,
             fields,
-        } = moment;
+        } = event;
         println!("{timestamp} {source} {level} {message}: {fields}");
     }
     Ok(())
 }
 
-/// Returns the lines of a log that name the request.
+/// Returns the lines of a log whose field `request` is the request's identifier.
 #[must_use]
-pub fn timeline(request: &str, source: &str, log: &str) -> Vec<Moment> {
-    let named = |line: &Line| line.kvs.get("request").and_then(Value::as_str) == Some(request);
+pub fn timeline(request: &str, source: &str, log: &str) -> Vec<Event> {
+    let matches = |line: &Line| line.kvs.get("request").and_then(Value::as_str) == Some(request);
     log.lines()
         .filter_map(|line| serde_json::from_str::<Line>(line.get(line.find('{')?..)?).ok())
-        .filter(named)
+        .filter(matches)
         .map(|line| {
             let others = line.kvs.iter().filter(|(name, _)| *name != "request");
             let fields: Vec<String> = others
@@ -82,7 +83,7 @@
                     value => format!("{name}={value}"),
                 })
                 .collect();
-            Moment {
+            Event {
                 timestamp: line.timestamp,
                 source: source.to_owned(),
                 level: line.level,
--- a/programs/src/commands/moves.rs
+++ b/programs/src/commands/moves.rs
@@ -1,17 +1,17 @@
-//! `medlarfall move`: starting, watching and cancelling moves.
+//! `medlarfall move`: starts, watches and cancels moves.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use medlarfall_schema::operator::{MovePhase, MoveState};
 
-use super::{Result, message};
+use super::{Result, status_message};
 use crate::operator::Operator;
 
-/// Starts a move that must have ended `within` a duration with its unit.
+/// Starts a move that must end `within` a duration, written with its unit such as `2h`.
 ///
 /// # Errors
 ///
-/// Returns that the duration is malformed, or the entry's refusal.
+/// Returns an error if the duration is malformed, or the message of the entry's refusal.
 pub async fn start(
     mut operator: Operator,
     service: &str,
@@ -20,11 +20,11 @@
     json: bool,
 ) -> Result {
     let within = humantime::parse_duration(within).map_err(|error| {
-        format!("`--within {within}` cannot be used: {error}; write a duration such as \"2h\"")
+        format!("invalid `--within {within}`: {error}; use a duration such as \"2h\"")
     })?;
     let deadline_ms = deadline_ms(within);
     let state = operator.start_move(service, version, deadline_ms).await;
-    print(&state.map_err(|status| message(&status))?, json);
+    print_state(&state.map_err(|status| status_message(&status))?, json);
     Ok(())
 }
 
@@ -32,31 +32,36 @@
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal, or that the entry was lost before the move ended.
+/// Returns the message of the entry's refusal, or an error if the entry closed the stream before
+/// the move ended.
 pub async fn watch(mut operator: Operator, service: &str, id: &str, json: bool) -> Result {
     let states = operator.watch_move(service, id).await;
-    let mut states = states.map_err(|status| message(&status))?;
-    while let Some(state) = states.message().await.map_err(|status| message(&status))? {
-        print(&state, json);
+    let mut states = states.map_err(|status| status_message(&status))?;
+    while let Some(state) = states
+        .message()
+        .await
+        .map_err(|status| status_message(&status))?
+    {
+        print_state(&state, json);
         if ended(&state) {
             return Ok(());
         }
     }
-    Err("the entry has ended the watch before the move ended; watch it at another entry".into())
+    Err("the entry closed the watch before the move ended; watch it at another entry".into())
 }
 
-/// Takes a move back.
+/// Cancels a move: the service is taken back to its previous version.
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal.
+/// Returns the message of the entry's refusal.
 pub async fn cancel(mut operator: Operator, service: &str, id: &str, json: bool) -> Result {
     let state = operator.cancel_move(service, id).await;
-    print(&state.map_err(|status| message(&status))?, json);
+    print_state(&state.map_err(|status| status_message(&status))?, json);
     Ok(())
 }
 
-/// Returns the deadline that lies `within` from now, in milliseconds of Unix time.
+/// Returns the time `within` from now, in milliseconds of Unix time.
 #[must_use]
 pub fn deadline_ms(within: Duration) -> u64 {
     let now = SystemTime::now()
@@ -65,14 +70,14 @@
     u64::try_from((now + within).as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Returns whether a state is a move's recorded end.
+/// Returns whether a move has ended: done or taken back.
 #[must_use]
 pub fn ended(state: &MoveState) -> bool {
     matches!(state.phase(), MovePhase::Done | MovePhase::TakenBack)
 }
 
-/// Prints a state.
-fn print(state: &MoveState, json: bool) {
+/// Prints the state of a move.
+fn print_state(state: &MoveState, json: bool) {
     let phase = match state.phase() {
         MovePhase::Unspecified => "unknown",
         MovePhase::Stage => "stage",
--- a/programs/src/commands/stops.rs
+++ b/programs/src/commands/stops.rs
@@ -1,4 +1,5 @@
-//! `stop plan`, `stop watch`, `stop cancel` and `order`.
+//! `medlarfall stop` and `medlarfall order`: plans, watches and cancels stops, and orders backend
+//! servers into states.
 
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -6,19 +7,19 @@
 use medlarfall_schema::declaration::Stop;
 use medlarfall_schema::operator::{OrderRequest, StopProgress, StopState};
 
-use super::{Result, message};
+use super::{Result, status_message};
 use crate::operator::Operator;
 
-/// What `stop plan` was told.
+/// Arguments of `stop plan`.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What stops.
+    /// Target: `server/NAME`, `failure-domain/NAME` or `entry/NAME`.
     pub target: String,
-    /// Time until it stops.
+    /// Time from now until the target stops.
     pub notice: Duration,
-    /// Why, for other operators.
+    /// Reason for the stop, shown to other operators.
     pub note: String,
-    /// Revision that the operator has seen; 0 for a new stop.
+    /// Revision of the stop that is changed; 0 for a new stop.
     pub revision: u64,
 }
 
@@ -26,7 +27,7 @@
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal.
+/// Returns the message of the entry's refusal.
 pub async fn plan(entry: SocketAddr, key: &str, plan: Plan, json: bool) -> Result {
     let date = SystemTime::now() + plan.notice;
     let date = date.duration_since(UNIX_EPOCH)?.as_millis();
@@ -38,52 +39,58 @@
         ..Stop::default()
     };
     let stored = Operator::new(entry, key)?.plan_stop(stop).await;
-    print(&stored.map_err(|status| message(&status))?, json)
+    print_stop(&stored.map_err(|status| status_message(&status))?, json)
 }
 
-/// Takes a planned stop back.
+/// Cancels a planned stop.
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal.
+/// Returns the message of the entry's refusal.
 pub async fn cancel(entry: SocketAddr, key: &str, target: &str, json: bool) -> Result {
     let stored = Operator::new(entry, key)?.cancel_stop(target).await;
-    print(&stored.map_err(|status| message(&status))?, json)
+    print_stop(&stored.map_err(|status| status_message(&status))?, json)
 }
 
-/// Prints what holds a stop until it has finished or was cancelled.
+/// Prints the progress of a stop until it has finished or is cancelled.
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal, or that the entry was lost before the end.
+/// Returns the message of the entry's refusal, or an error if the entry closed the stream before
+/// the end.
 pub async fn watch(entry: SocketAddr, key: &str, target: &str, json: bool) -> Result {
     let mut operator = Operator::new(entry, key)?;
     let mut stream = operator
         .watch_stop(target)
         .await
-        .map_err(|status| message(&status))?;
+        .map_err(|status| status_message(&status))?;
     let mut state = StopState::Unspecified;
-    while let Some(progress) = stream.message().await.map_err(|status| message(&status))? {
+    while let Some(progress) = stream
+        .message()
+        .await
+        .map_err(|status| status_message(&status))?
+    {
         state = progress.state();
-        show(&progress, json);
+        print_progress(&progress, json);
     }
     match state {
         StopState::Finished | StopState::Cancelled => Ok(()),
-        StopState::Unspecified | StopState::Leaving => {
-            Err("the entry was lost before the stop had finished; watch at another entry".into())
-        }
+        StopState::Unspecified | StopState::Leaving => Err(
+            "the entry closed the watch before the stop had finished; watch it at another entry"
+                .into(),
+        ),
     }
 }
 
-/// Orders a backend server into a state.
+/// Orders a backend server into a state and prints its resulting state.
 ///
 /// # Errors
 ///
-/// Returns the entry's refusal, or that the server did not come to be in that state.
+/// Returns the message of the entry's refusal, also if the server did not reach that state.
 pub async fn order(entry: SocketAddr, key: &str, order: OrderRequest, json: bool) -> Result {
     let server = order.server.clone();
     let reply = Operator::new(entry, key)?.order(order).await;
-    let state = reply.map_err(|status| message(&status))?;
+    let state = reply.map_err(|status| status_message(&status))?;
     let (versions, role, draining) = (&state.versions, &state.role, state.draining);
     if json {
         let fencing = state.fencing;
@@ -99,22 +106,23 @@
 }
 
 /// Prints a stored stop.
-fn print(stop: &Stop, json: bool) -> Result {
+fn print_stop(stop: &Stop, json: bool) -> Result {
     if json {
         println!("{}", serde_json::to_string(stop)?);
         return Ok(());
     }
-    let what = if stop.cancelled {
+    let action = if stop.cancelled {
         "cancelled"
     } else {
         "planned"
     };
-    println!("{}: {what} as revision {}", stop.target, stop.revision);
+    println!("{}: {action} as revision {}", stop.target, stop.revision);
     Ok(())
 }
 
-/// Prints what holds a stop.
-fn show(progress: &StopProgress, json: bool) {
+/// Prints the progress of a stop: its state, the requests that each entry still has, and the
+/// entries whose counts cannot be read.
+fn print_progress(progress: &StopProgress, json: bool) {
     let state = match progress.state() {
         StopState::Finished => "finished",
         StopState::Cancelled => "cancelled",
--- a/programs/src/demo.rs
+++ b/programs/src/demo.rs
@@ -1,4 +1,4 @@
-//! The demo: a cluster in one process that serves requests while an engine is killed.
+//! The demo: starts an embedded cluster and sends it requests while an engine dies.
 
 use std::error::Error;
 use std::time::Instant;
@@ -9,14 +9,14 @@
 use crate::caller::Completion;
 use crate::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, TRACKER};
 
-/// Tokens after which the engine that serves the demo's generation dies.
+/// Number of tokens after which the engine that serves the demo's generation dies.
 const TOKENS_BEFORE_DEATH: u64 = 40;
 
-/// Runs the demo; with `stay` it keeps the cluster up until the process is interrupted.
+/// Runs the demo; with `stay` the cluster runs until the process is interrupted.
 ///
 /// # Errors
 ///
-/// Returns what could not be started or was answered wrongly.
+/// Returns the component that could not start, or the answer that was wrong.
 pub async fn run(stay: bool) -> Result<(), Box<dyn Error>> {
     let cluster = Cluster::start(Plan {
         engines: 4,
@@ -27,12 +27,13 @@
     generate(&cluster).await?;
     call(&cluster).await?;
     if stay {
-        invite(&cluster).await?;
+        wait_for_interrupt(&cluster).await?;
     }
     Ok(())
 }
 
-/// Asks for a generation and kills the engine that serves it.
+/// Requests a generation whose engine dies while it runs, and compares the answer with the
+/// oracle's.
 async fn generate(cluster: &Cluster) -> Result<(), Box<dyn Error>> {
     let completion = Completion {
         model: BRIEFS.to_owned(),
@@ -45,11 +46,11 @@
         die_after_tokens: Some(TOKENS_BEFORE_DEATH),
         ..engine::Faults::default()
     };
-    let own = cluster
+    let local = cluster
         .engines
         .iter()
         .filter(|engine| engine.instance.failure_domain == "domain-0");
-    own.for_each(|engine| engine.engine.set_faults(dying.clone()));
+    local.for_each(|engine| engine.engine.set_faults(dying.clone()));
     let started = Instant::now();
     let mut stream = cluster.caller(0).stream(&completion).await?;
     let mut text = String::new();
@@ -63,13 +64,13 @@
             .iter()
             .for_each(|choice| text.push_str(&choice.text));
     }
-    let killed = cluster
+    let dead = cluster
         .engines
         .iter()
         .filter(|engine| engine.engine.life().dead())
         .count();
     println!(
-        "generation: {} in {} ms; engines killed on the way: {killed}; longest pause between tokens: {} ms",
+        "generation: {} in {} ms; engines that died meanwhile: {dead}; longest pause between tokens: {} ms",
         if text == expected {
             "whole and correct"
         } else {
@@ -79,12 +80,13 @@
         longest_gap.as_millis(),
     );
     if text != expected {
-        return Err("the generation differs from the oracle".into());
+        return Err("the text of the generation differs from the oracle's".into());
     }
     Ok(())
 }
 
-/// Makes an idempotent and a non-idempotent call.
+/// Calls the plain service with an idempotent and a non-idempotent request; checks that the latter
+/// ran once.
 async fn call(cluster: &Cluster) -> Result<(), Box<dyn Error>> {
     let caller = cluster.caller(1);
     let read = caller
@@ -107,8 +109,8 @@
     Ok(())
 }
 
-/// Prints a request to try and waits.
-async fn invite(cluster: &Cluster) -> Result<(), Box<dyn Error>> {
+/// Prints an example request and waits for Ctrl-C.
+async fn wait_for_interrupt(cluster: &Cluster) -> Result<(), Box<dyn Error>> {
     let entry = cluster.entries[0].addresses.callers;
     println!(
         "\ntry:\n  curl -N -H 'authorization: Bearer {CALLER_KEY}' -d '{{\"model\":\"{BRIEFS}\",\"prompt\":\"hello\",\"max_tokens\":20,\"stream\":true}}' http://{entry}/v1/completions\nstop with Ctrl-C"
--- a/programs/src/lib.rs
+++ b/programs/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the programs of medlarfall share: the embedded cluster, the demo and the client side of
-//! the callers' and operators' ports.
+//! Library of the medlarfall programs: the embedded cluster, the demo, the benchmarks, the
+//! subcommands and the clients of the callers' and operators' ports.
 
 pub mod bench;
 pub mod caller;
--- a/programs/src/main.rs
+++ b/programs/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line for operators and callers.
+//! The command line `medlarfall` for operators and callers.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use medlarfall::{bench, commands, demo};
 use medlarfall_schema::operator::OrderRequest;
 
-/// Arguments, parsed by `xflags`, which writes the code without comments.
+/// Command-line arguments; `xflags` generates their types without documentation.
 #[allow(missing_docs)]
 mod flags {
     use std::net::SocketAddr;
@@ -20,28 +20,29 @@
         cmd medlarfall {
             /// Prints JSON instead of text.
             optional --json
-            /// Runs entries and stand-ins in this process, kills an engine and prints what happened.
+            /// Runs entries and stand-ins in this process, lets an engine die and prints the
+            /// results.
             cmd demo {
-                /// Keeps the cluster up until interrupted.
+                /// Keeps the cluster running until interrupted.
                 optional --stay
             }
-            /// Runs a load experiment on an embedded cluster and prints its figures.
-        cmd bench {
-            /// Name of the scenario.
-            required scenario: String
-            /// Seed of the requests and faults; 1 by default.
-            optional --seed seed: u64
-        }
-        /// Checks a settings file.
+            /// Runs a benchmark on an embedded cluster and prints its results.
+            cmd bench {
+                /// Name of the scenario.
+                required scenario: String
+                /// Seed of the requests and faults; 1 by default.
+                optional --seed seed: u64
+            }
+            /// Checks a settings file.
             cmd check {
-                /// Settings file: TOML, or the users' platform's YAML.
+                /// Settings file, in TOML, or in YAML for the users' platform.
                 required file: PathBuf
             }
             /// Merges the logs of several entries into the timeline of one request.
             cmd explain {
                 /// Identifier of the request.
                 required request: String
-                /// Log files, one JSON line each event.
+                /// Log files, one JSON object per line.
                 repeated logs: PathBuf
             }
             /// Declares the service in a TOML file.
@@ -58,7 +59,7 @@
                 /// Operators' address of an entry.
                 required --entry entry: SocketAddr
             }
-            /// Prints what an entry knows of the system.
+            /// Prints an entry's view of the system.
             cmd status {
                 /// Operators' address of an entry.
                 required --entry entry: SocketAddr
@@ -69,11 +70,11 @@
                 required --entry entry: SocketAddr
                 /// Name of the backend server.
                 required server: String
-                /// Version that shall be loaded; repeat it for several, all others are unloaded.
+                /// Version to load; may be repeated. All other versions are unloaded.
                 repeated --version version: String
-                /// Role that the server shall have.
+                /// Role to assign to the server.
                 optional --role role: String
-                /// Whether the server shall take no new work: true or false.
+                /// Whether the server refuses new work: true or false.
                 optional --drain drain: bool
             }
             /// Plans, watches and cancels stops of backend servers, failure domains and entries.
@@ -82,27 +83,27 @@
                 cmd stop-plan plan {
                     /// Operators' address of an entry.
                     required --entry entry: SocketAddr
-                    /// What stops: server/NAME, failure-domain/NAME or entry/NAME.
+                    /// Target of the stop: server/NAME, failure-domain/NAME or entry/NAME.
                     required target: String
-                    /// Seconds until it stops.
+                    /// Seconds until the target stops.
                     required --seconds seconds: u64
-                    /// Why, for other operators.
+                    /// Reason for the stop, shown to other operators.
                     optional --note note: String
-                    /// Revision of the stop that you change; 0 by default, for a new one.
+                    /// Revision of the stop to change; 0, the default, for a new stop.
                     optional --revision revision: u64
                 }
-                /// Prints what still holds a stop until it has finished.
+                /// Prints the requests that still hold a stop, until it has finished.
                 cmd stop-watch watch {
                     /// Operators' address of an entry.
                     required --entry entry: SocketAddr
-                    /// What stops.
+                    /// Target of the stop.
                     required target: String
                 }
-                /// Takes a planned stop back.
+                /// Cancels a planned stop.
                 cmd stop-cancel cancel {
                     /// Operators' address of an entry.
                     required --entry entry: SocketAddr
-                    /// What was to stop.
+                    /// Target of the stop.
                     required target: String
                 }
             }
@@ -116,7 +117,7 @@
                     required --service service: String
                     /// Version to move to.
                     required --version version: String
-                    /// Time in which the move must have ended, such as "2h" or "30m".
+                    /// Time in which the move must end, such as "2h" or "30m".
                     required --within within: String
                 }
                 /// Prints the states of a move until it is done or taken back.
@@ -125,10 +126,10 @@
                     required --entry entry: SocketAddr
                     /// The service.
                     required --service service: String
-                    /// Identifier of the move; the last one by default.
+                    /// Identifier of the move; the latest move by default.
                     optional --id id: String
                 }
-                /// Takes a move back.
+                /// Cancels a move and takes the service back to its previous version.
                 cmd cancel {
                     /// Operators' address of an entry.
                     required --entry entry: SocketAddr
@@ -138,15 +139,16 @@
                     required --id id: String
                 }
             }
-            /// Asks for a generation and prints it as it comes.
+            /// Requests a generation and prints it as it arrives.
             cmd generate {
-                /// Callers' address of an entry; with several the next one goes on when one is lost.
+                /// Callers' address of an entry; may be repeated, to resume at the next entry when
+                /// one fails.
                 repeated --entry entry: SocketAddr
-                /// Service that is asked.
+                /// Name of the generation service.
                 required --model model: String
                 /// The prompt.
                 required --prompt prompt: String
-                /// Most tokens of the answer.
+                /// Maximum number of tokens of the answer.
                 optional --max-tokens max_tokens: u64
             }
         }
@@ -156,7 +158,7 @@
 /// Environment variable that holds the operators' or the caller's key.
 const KEY_VARIABLE: &str = "MEDLARFALL_KEY";
 
-/// Most tokens of an answer where the caller names none.
+/// Maximum number of tokens of an answer if `--max-tokens` is not given.
 const DEFAULT_MAX_TOKENS: u64 = 256;
 
 #[tokio::main]
@@ -171,7 +173,7 @@
     }
 }
 
-/// Runs the subcommand.
+/// Runs the subcommand with its arguments.
 async fn run(flags: flags::Medlarfall) -> commands::Result {
     let json = flags.json;
     match flags.subcommand {
@@ -195,7 +197,7 @@
             };
             commands::stops::order(flags.entry, &key()?, order, json).await
         }
-        flags::MedlarfallCmd::Stop(flags) => stop(flags.subcommand, json).await,
+        flags::MedlarfallCmd::Stop(flags) => run_stop(flags.subcommand, json).await,
         flags::MedlarfallCmd::Move(flags) => run_move(flags, json).await,
         flags::MedlarfallCmd::Generate(flags) => {
             let completion = Completion {
@@ -210,7 +212,7 @@
 }
 
 /// Runs a subcommand of `stop`.
-async fn stop(command: flags::StopCmd, json: bool) -> commands::Result {
+async fn run_stop(command: flags::StopCmd, json: bool) -> commands::Result {
     let key = key()?;
     match command {
         flags::StopCmd::StopPlan(flags) => {
@@ -259,5 +261,7 @@
 
 /// Reads the key from the environment.
 fn key() -> Result<String, String> {
-    std::env::var(KEY_VARIABLE).map_err(|_| format!("set {KEY_VARIABLE} to your key"))
+    std::env::var(KEY_VARIABLE).map_err(|_| {
+        format!("the environment variable {KEY_VARIABLE} is not set; set it to your key")
+    })
 }
--- a/programs/src/operator.rs
+++ b/programs/src/operator.rs
@@ -1,4 +1,4 @@
-//! The client side of the operators' port.
+//! Client of the operators' port.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 use tonic::{Request, Status, Streaming};
 use uuid::Uuid;
 
-/// Adds the operators' key to each call.
+/// Interceptor that adds the operators' key to each call.
 #[derive(Clone, Debug)]
 pub struct Key(MetadataValue<Ascii>);
 
@@ -25,14 +25,14 @@
     }
 }
 
-/// An operator's connection to one entry.
+/// An operator's client of one entry.
 #[derive(Clone, Debug)]
 pub struct Operator {
     client: OperatorClient<InterceptedService<Channel, Key>>,
 }
 
 impl Operator {
-    /// Returns an operator that talks to `entry` with `key`.
+    /// Returns a client of the entry at `entry` that authenticates with `key`.
     ///
     /// # Errors
     ///
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn apply(&mut self, service: Service) -> Result<Service, Status> {
         let change_id = Uuid::now_v7().to_string();
         let request = rpc::ApplyRequest {
@@ -64,11 +64,11 @@
         Ok(reply.service.unwrap_or_default())
     }
 
-    /// Makes a call to declare a service, as it is written, and returns the answer.
+    /// Sends a request to declare a service unchanged and returns the reply.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn apply_request(
         &mut self,
         request: rpc::ApplyRequest,
@@ -80,7 +80,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn list(&mut self) -> Result<Vec<Service>, Status> {
         Ok(self
             .client
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn plan_stop(&mut self, stop: Stop) -> Result<Stop, Status> {
         let request = rpc::PlanStopRequest {
             stop: Some(stop),
@@ -104,11 +104,11 @@
         Ok(reply.stop.unwrap_or_default())
     }
 
-    /// Takes a planned stop back and returns it as stored.
+    /// Cancels a planned stop and returns it as stored.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn cancel_stop(&mut self, target: &str) -> Result<Stop, Status> {
         let request = rpc::CancelStopRequest {
             target: target.to_owned(),
@@ -118,20 +118,20 @@
         Ok(reply.stop.unwrap_or_default())
     }
 
-    /// Orders a backend server into a state and returns the state in which it then is.
+    /// Orders a backend server into a state and returns its resulting state.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal, or that the server did not come to be in that state.
+    /// Returns the status of the entry's refusal, also if the server did not reach that state.
     pub async fn order(&mut self, request: rpc::OrderRequest) -> Result<rpc::OrderReply, Status> {
         Ok(self.client.order(request).await?.into_inner())
     }
 
-    /// Returns the stream of what still holds a stop.
+    /// Returns a stream of a stop's progress: the requests that still have to end before it.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn watch_stop(
         &mut self,
         target: &str,
@@ -142,11 +142,11 @@
         Ok(self.client.watch_stop(request).await?.into_inner())
     }
 
-    /// Returns what the entry knows of the system.
+    /// Returns the entry's view of the system.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn status(&mut self) -> Result<rpc::StatusReply, Status> {
         Ok(self
             .client
@@ -155,11 +155,12 @@
             .into_inner())
     }
 
-    /// Starts to move a service to another version by a deadline in milliseconds of Unix time.
+    /// Starts a move of a service to another version, to end by `deadline_ms` in milliseconds of
+    /// Unix time.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn start_move(
         &mut self,
         service: &str,
@@ -175,11 +176,12 @@
         Ok(self.client.start_move(request).await?.into_inner())
     }
 
-    /// Returns the states of a service's move up to its end; without an identifier, of its last.
+    /// Returns a stream of the states of a service's move up to its end; an empty `move_id` selects
+    /// the latest move.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn watch_move(
         &mut self,
         service: &str,
@@ -192,11 +194,11 @@
         Ok(self.client.watch_move(request).await?.into_inner())
     }
 
-    /// Takes a move back.
+    /// Cancels a move: the service is taken back to its previous version.
     ///
     /// # Errors
     ///
-    /// Returns the entry's refusal.
+    /// Returns the status of the entry's refusal.
     pub async fn cancel_move(
         &mut self,
         service: &str,
