--- a/programs/src/bench.rs
+++ b/programs/src/bench.rs
@@ -1,4 +1,5 @@
-//! The load and experiment tool: each scenario runs on an embedded cluster and returns figures.
+//! Benchmarks: each scenario loads an embedded cluster or a part of an entry and reports
+//! measurements.
 
 use std::collections::BTreeMap;
 use std::error::Error;
@@ -19,8 +20,8 @@
 mod stops;
 mod stopwatch;
 
-/// Figures of a run, by name.
-pub type Figures = BTreeMap<&'static str, Value>;
+/// Measurements of a run, by name.
+pub type Report = BTreeMap<&'static str, Value>;
 
 /// Names of the scenarios.
 pub const SCENARIOS: &[&str] = &[
@@ -36,26 +37,26 @@
     "stops",
 ];
 
-/// Runs a scenario and prints its figures: as a table, or as one JSON object on the last line.
+/// Runs a scenario and prints its measurements, as a table or as a JSON object on one line.
 ///
 /// # Errors
 ///
-/// Returns what could not be started, or that no such scenario exists.
+/// Returns the error that ended the scenario, or that no scenario has this name.
 pub async fn run(scenario: &str, seed: u64, json: bool) -> Result<(), Box<dyn Error>> {
-    let figures = figures(scenario, seed).await?;
+    let report = run_scenario(scenario, seed).await?;
     if json {
-        println!("{}", serde_json::to_string(&figures)?);
+        println!("{}", serde_json::to_string(&report)?);
         return Ok(());
     }
     println!("scenario {scenario}, seed {seed}");
-    for (name, value) in figures {
+    for (name, value) in report {
         println!("{name:<32} {value}");
     }
     Ok(())
 }
 
-/// Runs a scenario.
-async fn figures(scenario: &str, seed: u64) -> Result<Figures, Box<dyn Error>> {
+/// Runs a scenario and returns its measurements.
+async fn run_scenario(scenario: &str, seed: u64) -> Result<Report, Box<dyn Error>> {
     match scenario {
         "at-most-once" => at_most_once::run(seed).await,
         "decisions" => decisions::run(seed).await,
@@ -68,27 +69,27 @@
         "slow-readers" => slow_readers::run(seed).await,
         "moves" => moves::run(seed).await,
         _ => Err(format!(
-            "no scenario `{scenario}`: write one of {}",
+            "unknown scenario `{scenario}`: expected one of {}",
             SCENARIOS.join(", ")
         )
         .into()),
     }
 }
 
-/// Returns a figure in milliseconds with three decimals from one in microseconds.
+/// Converts microseconds to a JSON number of milliseconds with three decimals.
 fn milliseconds(microseconds: u64) -> Value {
     let text = format!("{}.{:03}", microseconds / 1_000, microseconds % 1_000);
     text.parse::<f64>().map_or(Value::Null, Value::from)
 }
 
-/// Returns a stand-in's place on the instance list as a backend server.
-fn server(instance: &Instance) -> Option<Server> {
+/// Converts a stand-in's record on the instance list to a backend server.
+fn backend_server(instance: &Instance) -> Option<Server> {
     let json = serde_json::to_value(instance).ok()?;
     let instance: medlarfall_serving::platform::Instance = serde_json::from_value(json).ok()?;
     Server::try_from(instance).ok()
 }
 
-/// Returns `part / whole`, or 0 if there is no whole.
+/// Returns `part / whole`, or 0 if `whole` is 0.
 fn ratio(part: u64, whole: u64) -> f64 {
     let as_float = |value: u64| u32::try_from(value).map_or(f64::from(u32::MAX), f64::from);
     if whole == 0 {
--- a/programs/src/bench/at_most_once.rs
+++ b/programs/src/bench/at_most_once.rs
@@ -1,5 +1,6 @@
-//! Scenario `at-most-once`: actions that must not run twice, retried through several entries while
-//! the service, the store and the entries fail.
+//! Scenario `at-most-once`: callers retry non-idempotent calls through several entries while the
+//! service, the store and the entries fail. Counts calls that ran twice and calls whose reported
+//! status was wrong, with idempotency keys and without.
 
 use std::collections::BTreeSet;
 use std::error::Error;
@@ -16,26 +17,26 @@
 use serde_json::Value;
 use uuid::Uuid;
 
-use super::Figures;
+use super::Report;
 use crate::caller::{Caller, Reply};
 use crate::cluster::{Cluster, Plan, TRACKER, wait_until};
 
-/// Actions while faults come and go, each way.
+/// Actions under faults in each phase.
 const ACTIONS: usize = 600;
 
-/// Actions without faults, by which calls to the store are counted.
-const QUIET_ACTIONS: usize = 200;
+/// Actions in the fault-free phase, in which calls to the store are counted.
+const FAULT_FREE_ACTIONS: usize = 200;
 
-/// Actions at a time.
+/// Actions in flight.
 const CONCURRENCY: usize = 16;
 
-/// Most tries of one action.
-const TRIES: usize = 4;
+/// Maximum number of attempts at an action.
+const MAX_ATTEMPTS: usize = 4;
 
-/// One in this many actions carries no identifier and is tried once.
-const WITHOUT_IDENTIFIER: usize = 4;
+/// One in this many actions carries no identifier and is attempted once.
+const UNIDENTIFIED_EVERY: usize = 4;
 
-/// Pause of a caller before it tries again.
+/// Pause of a caller before a retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Time between two changes of the faults.
@@ -44,26 +45,26 @@
 /// Timeout of the entries' calls to the store.
 const STORE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest time that entries take to clear up after the faults.
-const SETTLE: Duration = Duration::from_secs(3);
+/// Time for entries to finish their cleanup after the faults.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
 
-/// An action of the plan.
+/// An action, and the entries through which it is attempted in turn.
 #[derive(Clone, Debug)]
 struct Action {
     name: String,
     identifier: Option<String>,
     entries: Vec<usize>,
-    tries: usize,
+    max_attempts: usize,
 }
 
-/// What a caller was told of one action.
+/// The replies that a caller received for one action.
 #[derive(Debug)]
-struct Told {
+struct Outcome {
     name: String,
     replies: Vec<Reply>,
 }
 
-/// What a phase came to.
+/// Counts of a phase; see [`evaluate`].
 #[derive(Debug, Default)]
 struct Tally {
     ran_twice: usize,
@@ -74,13 +75,13 @@
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
     let (tally, store_calls) = phase(seed, true).await?;
     let (naive, _) = phase(seed, false).await?;
     let share = |count: usize| -> Result<Value, Box<dyn Error>> {
         Ok((f64::from(u32::try_from(count)?) / f64::from(u32::try_from(ACTIONS)?)).into())
     };
-    Ok(Figures::from([
+    Ok(Report::from([
         ("calls", ACTIONS.into()),
         ("ran_twice", tally.ran_twice.into()),
         ("not_run_but_ran", tally.not_run_but_ran.into()),
@@ -92,67 +93,69 @@
     ]))
 }
 
-/// Runs the actions under faults, with identifiers or without, then some without faults.
+/// Runs the actions under faults, with identifiers or without; with identifiers, then measures the
+/// calls to the store without faults.
 async fn phase(seed: u64, identified: bool) -> Result<(Tally, f64), Box<dyn Error>> {
     let plan = Plan {
         entries: 3,
         engines: 0,
         services: 2,
-        adjust_settings: adjust,
+        adjust_settings,
         ..Plan::default()
     };
     let cluster = Arc::new(Cluster::start(plan).await?);
-    let faults = tokio::spawn(disturb(Arc::clone(&cluster), seed));
-    let told = act_all(&cluster, actions(seed, ACTIONS, identified)).await;
+    let faults = tokio::spawn(inject_faults(Arc::clone(&cluster), seed));
+    let outcomes = perform_all(&cluster, actions(seed, ACTIONS, identified)).await;
     faults.abort();
-    heal(&cluster);
-    let tally = judge(&cluster, &told);
+    clear_faults(&cluster);
+    let tally = evaluate(&cluster, &outcomes);
     if !identified {
         return Ok((tally, 0.0));
     }
     Ok((tally, count_store_calls(&cluster, seed).await?))
 }
 
-/// Shortens what an outage of the store costs the scenario.
-fn adjust(_: usize, settings: &mut Settings) {
+/// Shortens the timeout of calls to the store, so that its outages take less of the scenario's
+/// time.
+fn adjust_settings(_: usize, settings: &mut Settings) {
     settings.platform.call_timeout = STORE_TIMEOUT;
 }
 
-/// Returns the actions of a seed; without identifiers they are retried all the same, as a caller
-/// would who does not know better.
+/// Returns the actions of a seed. Without identifiers they are retried as well: this is the naive
+/// caller that the scenario compares with.
 fn actions(seed: u64, count: usize, identified: bool) -> Vec<Action> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     (0..count)
         .map(|index| {
-            let once = index % WITHOUT_IDENTIFIER == 0;
-            // The last entry dies: a caller that tries only once would meet it dead for ever.
-            let entries = if once { 2 } else { 3 };
+            let unidentified = index % UNIDENTIFIED_EVERY == 0;
+            // The last entry dies and stays dead, so an action with a single attempt avoids it.
+            let entries = if unidentified { 2 } else { 3 };
             Action {
                 name: format!("assign-{count}-{index}"),
-                identifier: (identified && !once).then(|| Uuid::now_v7().to_string()),
-                entries: (0..TRIES)
+                identifier: (identified && !unidentified).then(|| Uuid::now_v7().to_string()),
+                entries: (0..MAX_ATTEMPTS)
                     .map(|_| random.random_range(0..entries))
                     .collect(),
-                tries: if once { 1 } else { TRIES },
+                max_attempts: if unidentified { 1 } else { MAX_ATTEMPTS },
             }
         })
         .collect()
 }
 
-/// Carries out the actions, a bounded number at a time.
-async fn act_all(cluster: &Arc<Cluster>, actions: Vec<Action>) -> Vec<Told> {
+/// Performs the actions, [`CONCURRENCY`] at a time.
+async fn perform_all(cluster: &Arc<Cluster>, actions: Vec<Action>) -> Vec<Outcome> {
     let callers: Vec<Caller> = (0..3).map(|entry| cluster.caller(entry)).collect();
     futures::stream::iter(actions)
-        .map(|action| act(callers.clone(), action))
+        .map(|action| perform(callers.clone(), action))
         .buffer_unordered(CONCURRENCY)
         .collect()
         .await
 }
 
-/// Carries out an action: again through another entry until it is known to have run.
-async fn act(callers: Vec<Caller>, action: Action) -> Told {
+/// Performs an action; retries it through another entry until a reply states that it ran.
+async fn perform(callers: Vec<Caller>, action: Action) -> Outcome {
     let mut replies = Vec::new();
-    for entry in action.entries.iter().take(action.tries) {
+    for entry in action.entries.iter().take(action.max_attempts) {
         let headers: Vec<(&str, &str)> = action
             .identifier
             .iter()
@@ -172,120 +175,130 @@
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
-    Told {
+    Outcome {
         name: action.name,
         replies,
     }
 }
 
-/// Changes the faults again and again, and kills an entry once.
-async fn disturb(cluster: Arc<Cluster>, seed: u64) {
+/// Changes the faults at a fixed interval, and kills one entry.
+async fn inject_faults(cluster: Arc<Cluster>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 1);
-    let death = random.random_range(2..10);
+    let kill_step = random.random_range(2..10);
     for step in 0.. {
-        for plain in &cluster.services {
-            plain.service.set_faults(service_faults(&mut random));
+        for instance in &cluster.services {
+            instance.service.set_faults(service_faults(&mut random));
         }
         cluster.platform.set_faults(platform_faults(&mut random));
-        if step == death {
+        if step == kill_step {
             cluster.entries[2].kill();
         }
         tokio::time::sleep(FAULT_INTERVAL).await;
     }
 }
 
-/// Draws faults of a service.
+/// Returns random faults of a service.
 fn service_faults(random: &mut ChaCha8Rng) -> service::Faults {
-    let none = service::Faults::default();
+    let no_faults = service::Faults::default();
     match random.random_range(0..6) {
         0 => service::Faults {
             drop_answers: 3,
-            ..none
+            ..no_faults
         },
         1 => service::Faults {
             cross_answers: 3,
-            ..none
+            ..no_faults
+        },
+        2 => service::Faults {
+            refuse: 5,
+            ..no_faults
         },
-        2 => service::Faults { refuse: 5, ..none },
         3 => service::Faults {
             answer_after_ms: 60,
-            ..none
+            ..no_faults
         },
-        _ => none,
+        _ => no_faults,
     }
 }
 
-/// Draws faults of the platform.
+/// Returns random faults of the platform.
 fn platform_faults(random: &mut ChaCha8Rng) -> platform::Faults {
-    let none = platform::Faults::default();
+    let no_faults = platform::Faults::default();
     match random.random_range(0..10) {
-        0 => platform::Faults { down: true, ..none },
-        1 => platform::Faults { hang: true, ..none },
+        0 => platform::Faults {
+            down: true,
+            ..no_faults
+        },
+        1 => platform::Faults {
+            hang: true,
+            ..no_faults
+        },
         2 => platform::Faults {
             drop_answers: 3,
-            ..none
+            ..no_faults
         },
         3 => platform::Faults {
             late_writes: 3,
-            ..none
+            ..no_faults
         },
         4 => platform::Faults {
             stale_reads: 3,
-            ..none
+            ..no_faults
         },
         5 => {
             let slow = [20, 100].choose(random).copied().unwrap_or_default();
             platform::Faults {
                 slow_ms: slow,
-                ..none
+                ..no_faults
             }
         }
-        _ => none,
+        _ => no_faults,
     }
 }
 
-/// Ends all faults.
-fn heal(cluster: &Cluster) {
-    for plain in &cluster.services {
-        plain.service.set_faults(service::Faults::default());
+/// Clears all faults.
+fn clear_faults(cluster: &Cluster) {
+    for instance in &cluster.services {
+        instance.service.set_faults(service::Faults::default());
     }
     cluster.platform.set_faults(platform::Faults::default());
 }
 
-/// Compares what callers were told with what the services count.
-fn judge(cluster: &Cluster, told: &[Told]) -> Tally {
+/// Compares the replies to callers with the runs that the services counted.
+fn evaluate(cluster: &Cluster, outcomes: &[Outcome]) -> Tally {
     let mut tally = Tally::default();
     let ran: BTreeSet<String> = cluster
         .services
         .iter()
-        .flat_map(|plain| plain.service.ran())
+        .flat_map(|instance| instance.service.ran())
         .collect();
-    for told in told {
-        let runs = runs(cluster, &told.name);
+    for outcome in outcomes {
+        let runs = count_runs(cluster, &outcome.name);
         tally.ran_twice += usize::from(runs > 1);
-        for reply in &told.replies {
+        for reply in &outcome.replies {
             let denied = reply.run == "not-run" && ran.contains(&reply.request_id);
             tally.not_run_but_ran += usize::from(denied);
-            tally.answers_wrong += usize::from(wrong(reply, &told.name, runs));
+            tally.answers_wrong += usize::from(is_wrong(reply, &outcome.name, runs));
         }
-        let last = told.replies.last().map_or("unknown", |reply| &reply.run);
+        let last = outcome.replies.last().map_or("unknown", |reply| &reply.run);
         tally.unknown += usize::from(last == "unknown");
         tally.not_run += usize::from(last == "not-run");
     }
     tally
 }
 
-/// Returns how often an action ran, over all services.
-fn runs(cluster: &Cluster, name: &str) -> u64 {
+/// Returns how often an action ran, over all instances of the service.
+fn count_runs(cluster: &Cluster, name: &str) -> u64 {
     cluster
         .services
         .iter()
-        .filter_map(|plain| plain.service.runs().get(name).copied())
+        .filter_map(|instance| instance.service.runs().get(name).copied())
         .sum()
 }
 
-/// Returns whether a reply says that an action ran that did not, or is not its own.
-fn wrong(reply: &Reply, name: &str, runs: u64) -> bool {
+/// Returns whether a reply states that an action ran although it did not, or belongs to another
+/// action.
+fn is_wrong(reply: &Reply, name: &str, runs: u64) -> bool {
     if reply.run != "ran" {
         return false;
     }
@@ -293,19 +306,19 @@
     runs == 0 || reply.status != 200 || answer["action"] != name
 }
 
-/// Returns the calls to the store for each call under an identifier, without faults.
+/// Returns the average number of calls to the store per call with an identifier, without faults.
 async fn count_store_calls(cluster: &Arc<Cluster>, seed: u64) -> Result<f64, Box<dyn Error>> {
-    let mut actions = actions(seed, QUIET_ACTIONS, true);
+    let mut actions = actions(seed, FAULT_FREE_ACTIONS, true);
     actions.retain(|action| action.identifier.is_some());
     for action in &mut actions {
         action.entries = vec![0, 1];
     }
     let count = u64::try_from(actions.len())?;
-    // What the phase before has left is cleared up first.
-    tokio::time::sleep(SETTLE).await;
+    // The entries first finish the cleanup of the previous phase.
+    tokio::time::sleep(SETTLE_TIME).await;
     let before = cluster.platform.stats();
-    act_all(cluster, actions).await;
-    wait_until("the answers are kept", || {
+    perform_all(cluster, actions).await;
+    wait_until("the answers are stored", || {
         cluster.platform.stats().writes >= before.writes + 2 * count
     })
     .await?;
--- a/programs/src/bench/baseline.rs
+++ b/programs/src/bench/baseline.rs
@@ -1,4 +1,5 @@
-//! Scenario `baseline`: what an entry adds over going straight to the engine.
+//! Scenario `baseline`: latency and throughput of generations through entries, compared with
+//! requests sent directly to the engines.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -12,70 +13,72 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::stopwatch::{Sample, Stopwatch};
-use super::{Figures, milliseconds, server};
+use super::{Report, backend_server, milliseconds};
 use crate::caller::{Caller, Completion};
 use crate::cluster::{BRIEFS, Cluster, Plan};
 
-/// Generations on each way.
+/// Generations sent on each path.
 const GENERATIONS: usize = 240;
 
-/// Callers at a time: half of what the engines batch.
+/// Requests in flight: half of what the engines batch.
 const CALLERS: usize = 64;
 
-/// Most tokens of each answer.
+/// Maximum number of tokens of each answer.
 const MAX_TOKENS: u64 = 64;
 
-/// What one way measured, in microseconds.
-struct Measured {
-    first: Histogram<u64>,
-    between: Histogram<u64>,
+/// Measurements of one path; times are in microseconds.
+struct Measurements {
+    ttft: Histogram<u64>,
+    gaps: Histogram<u64>,
     requests_per_second: f64,
     wrong: u64,
 }
 
-/// Runs the scenario: each way first with a wave that sets up its connections, then warm.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
+/// Runs the scenario. On each path a first wave of requests sets up the connections; the measured
+/// requests then reuse them.
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
     let cluster = Arc::new(Cluster::start(Plan::default()).await?);
     let (wave, prompts) = (prompts(seed, CALLERS), prompts(seed + 1, GENERATIONS));
     let client = Client::new();
-    let straight = |index: usize, prompt: String| {
-        straight(client.clone(), Arc::clone(&cluster), index, prompt)
+    let direct_send = |index: usize, prompt: String| {
+        send_direct(client.clone(), Arc::clone(&cluster), index, prompt)
     };
-    let direct_wave = measure(&wave, straight).await?;
-    let direct = measure(&prompts, straight).await?;
+    let direct_wave = measure(&wave, direct_send).await?;
+    let direct = measure(&prompts, direct_send).await?;
     let callers: Vec<Caller> = (0..cluster.entries.len())
         .map(|entry| cluster.caller(entry))
         .collect();
-    let entry =
-        |index: usize, prompt: String| entry(callers[index % callers.len()].clone(), prompt);
-    let through_wave = measure(&wave, entry).await?;
-    let through = measure(&prompts, entry).await?;
-    let added = p95(&through.between).saturating_sub(p95(&direct.between));
-    Ok(Figures::from([
+    let through_entry = |index: usize, prompt: String| {
+        send_through_entry(callers[index % callers.len()].clone(), prompt)
+    };
+    let routed_wave = measure(&wave, through_entry).await?;
+    let routed = measure(&prompts, through_entry).await?;
+    let added = p95(&routed.gaps).saturating_sub(p95(&direct.gaps));
+    Ok(Report::from([
         (
             "ttft_p50_ms",
-            milliseconds(through.first.value_at_quantile(0.5)),
+            milliseconds(routed.ttft.value_at_quantile(0.5)),
         ),
-        ("ttft_p95_ms", milliseconds(p95(&through.first))),
+        ("ttft_p95_ms", milliseconds(p95(&routed.ttft))),
         (
             "direct_ttft_p50_ms",
-            milliseconds(direct.first.value_at_quantile(0.5)),
+            milliseconds(direct.ttft.value_at_quantile(0.5)),
         ),
-        ("direct_ttft_p95_ms", milliseconds(p95(&direct.first))),
+        ("direct_ttft_p95_ms", milliseconds(p95(&direct.ttft))),
         (
             "first_wave_ttft_p95_ms",
-            milliseconds(p95(&through_wave.first)),
+            milliseconds(p95(&routed_wave.ttft)),
         ),
         (
             "direct_first_wave_ttft_p95_ms",
-            milliseconds(p95(&direct_wave.first)),
+            milliseconds(p95(&direct_wave.ttft)),
         ),
         ("added_ms_per_token_p95", milliseconds(added)),
-        ("requests_per_s", through.requests_per_second.into()),
+        ("requests_per_s", routed.requests_per_second.into()),
         ("direct_requests_per_s", direct.requests_per_second.into()),
         (
             "answers_wrong",
-            (through.wrong + direct.wrong + through_wave.wrong + direct_wave.wrong).into(),
+            (routed.wrong + direct.wrong + routed_wave.wrong + direct_wave.wrong).into(),
         ),
     ]))
 }
@@ -93,8 +96,8 @@
         .collect()
 }
 
-/// Sends every prompt one way, a bounded number at a time.
-async fn measure<F, G>(prompts: &[String], send: F) -> Result<Measured, Box<dyn Error>>
+/// Sends every prompt on one path, [`CALLERS`] at a time.
+async fn measure<F, G>(prompts: &[String], send: F) -> Result<Measurements, Box<dyn Error>>
 where
     F: Fn(usize, String) -> G,
     G: Future<Output = Option<Sample>>,
@@ -106,26 +109,26 @@
         .buffer_unordered(CALLERS)
         .collect()
         .await;
-    let mut measured = Measured {
-        first: Histogram::new(3)?,
-        between: Histogram::new(3)?,
+    let mut measurements = Measurements {
+        ttft: Histogram::new(3)?,
+        gaps: Histogram::new(3)?,
         requests_per_second: 0.0,
         wrong: 0,
     };
     for sample in samples.into_iter().map(Option::unwrap_or_default) {
-        measured.first.record(sample.first)?;
-        for gap in &sample.between {
-            measured.between.record(*gap)?;
+        measurements.ttft.record(sample.ttft_us)?;
+        for gap in &sample.gaps_us {
+            measurements.gaps.record(*gap)?;
         }
-        measured.wrong += u64::from(sample.wrong || sample.between.is_empty());
+        measurements.wrong += u64::from(sample.wrong || sample.gaps_us.is_empty());
     }
     let count = u32::try_from(prompts.len())?;
-    measured.requests_per_second = f64::from(count) / started.elapsed().as_secs_f64();
-    Ok(measured)
+    measurements.requests_per_second = f64::from(count) / started.elapsed().as_secs_f64();
+    Ok(measurements)
 }
 
 /// Sends a prompt through an entry.
-async fn entry(caller: Caller, prompt: String) -> Option<Sample> {
+async fn send_through_entry(caller: Caller, prompt: String) -> Option<Sample> {
     let expected = oracle::answer("v1", &prompt, MAX_TOKENS);
     let completion = Completion {
         model: BRIEFS.to_owned(),
@@ -137,23 +140,23 @@
     let mut stream = caller.stream(&completion).await.ok()?;
     let mut text = String::new();
     while let Some(chunk) = stream.next().await.ok()? {
-        clock.token();
+        clock.record_token();
         chunk
             .choices
             .iter()
             .for_each(|choice| text.push_str(&choice.text));
     }
-    Some(clock.sample(text != expected))
+    Some(clock.finish(text != expected))
 }
 
-/// Sends a prompt straight to an engine.
-async fn straight(
+/// Sends a prompt directly to an engine.
+async fn send_direct(
     client: Client,
     cluster: Arc<Cluster>,
     index: usize,
     prompt: String,
 ) -> Option<Sample> {
-    let server = server(&cluster.engines[index % cluster.engines.len()].instance)?;
+    let server = backend_server(&cluster.engines[index % cluster.engines.len()].instance)?;
     let expected = oracle::answer("v1", &prompt, MAX_TOKENS);
     let generate = Generate {
         request_id: Arc::from(format!("direct-{index}")),
@@ -168,8 +171,8 @@
     let mut frames = client.generate(&server, &generate).await.ok()?;
     let mut text = String::new();
     while let Some(frame) = frames.next().await.ok()? {
-        clock.token();
+        clock.record_token();
         text.push_str(frame.token.as_deref().unwrap_or_default());
     }
-    Some(clock.sample(text != expected))
+    Some(clock.finish(text != expected))
 }
--- a/programs/src/bench/config.rs
+++ b/programs/src/bench/config.rs
@@ -1,5 +1,6 @@
-//! Scenario `config`: racing operators and a faulty platform; how soon a change is in force
-//! everywhere, and what the platform is asked as the fleet grows.
+//! Scenario `config`: several operators change one declaration concurrently while the platform
+//! fails. Measures how soon a change is in force at every entry, and the idle load on the platform
+//! and between peers for several fleet sizes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
@@ -17,7 +18,7 @@
 use tokio::time::sleep;
 use tonic::Code;
 
-use super::{Figures, milliseconds};
+use super::{Report, milliseconds};
 use crate::cluster::{Cluster, Plan, TRACKER, tracker};
 
 /// Failure domains of each cluster.
@@ -26,27 +27,28 @@
 /// Entries of the cluster whose declarations are changed.
 const ENTRIES: usize = 9;
 
-/// Operators that race.
+/// Operators that change the declaration concurrently.
 const OPERATORS: u64 = 4;
 
-/// Changes that each operator gets accepted.
+/// Accepted changes after which an operator stops.
 const CHANGES: u64 = 25;
 
-/// Time in which a started cluster comes to rest.
-const SETTLE: Duration = Duration::from_secs(12);
+/// Time after the start of a cluster before its idle load is measured.
+const SETTLE_TIME: Duration = Duration::from_secs(12);
 
-/// Time over which calls and bytes are counted.
-const COUNTED: Duration = Duration::from_secs(20);
+/// Period over which calls and bytes are counted.
+const COUNTING_PERIOD: Duration = Duration::from_secs(20);
 
-/// Time after the last change in which it comes into force.
-const FINISH: Duration = Duration::from_secs(5);
+/// Time for the last changes to reach every entry before the evaluation.
+const PROPAGATION_TIME: Duration = Duration::from_secs(5);
 
-/// Longest pause of an operator, in milliseconds.
-const PAUSE_MS: u64 = 200;
+/// Upper bound of an operator's pause between changes, in milliseconds.
+const MAX_PAUSE_MS: u64 = 200;
 
-/// What an entry showed: when each revision came into force, and which change had written it.
+/// Observations of one entry: when each revision came into force and the change that wrote it, and
+/// how often an older revision replaced a newer one.
 #[derive(Default)]
-struct Seen {
+struct Observations {
     revisions: BTreeMap<u64, (Instant, String)>,
     reverts: u64,
 }
@@ -59,18 +61,18 @@
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
-    let mut figures = race(seed).await?;
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
+    let mut report = measure_race(seed).await?;
     for (entries, name) in [
         (3, "store_calls_per_s_3"),
         (9, "store_calls_per_s_9"),
         (27, "store_calls_per_s_27"),
     ] {
-        let (calls, bytes) = rest(entries).await?;
-        figures.insert(name, calls.into());
-        figures.insert("peer_bytes_per_s_per_entry", bytes.into());
+        let (calls, bytes) = measure_idle(entries).await?;
+        report.insert(name, calls.into());
+        report.insert("peer_bytes_per_s_per_entry", bytes.into());
     }
-    Ok(figures)
+    Ok(report)
 }
 
 /// Returns the plan of a cluster.
@@ -83,60 +85,61 @@
     }
 }
 
-/// Counts the platform's calls and the peers' bytes, each second, while nothing changes.
-async fn rest(entries: usize) -> Result<(f64, f64), Box<dyn Error>> {
+/// Measures an idle cluster: the calls to the platform per second, and the bytes that each entry
+/// sends to peers per second.
+async fn measure_idle(entries: usize) -> Result<(f64, f64), Box<dyn Error>> {
     let cluster = Cluster::start(plan(entries)).await?;
-    sleep(SETTLE).await;
-    let (calls, bytes) = (calls(&cluster), bytes(&cluster));
-    sleep(COUNTED).await;
-    let calls = self::calls(&cluster) - calls;
-    let bytes = self::bytes(&cluster) - bytes;
+    sleep(SETTLE_TIME).await;
+    let (calls, bytes) = (platform_calls(&cluster), peer_bytes(&cluster));
+    sleep(COUNTING_PERIOD).await;
+    let calls = platform_calls(&cluster) - calls;
+    let bytes = peer_bytes(&cluster) - bytes;
     cluster.entries.iter().for_each(Entry::kill);
-    let seconds = COUNTED.as_secs_f64();
+    let seconds = COUNTING_PERIOD.as_secs_f64();
     let entries = f64::from(u32::try_from(entries)?);
     let calls = f64::from(u32::try_from(calls)?) / seconds;
     let bytes = f64::from(u32::try_from(bytes)?) / seconds / entries;
     Ok((calls, bytes.round()))
 }
 
-/// Returns the calls for declarations and instances that the platform has counted.
-fn calls(cluster: &Cluster) -> u64 {
+/// Returns the number of reads of declarations and instances that the platform has counted.
+fn platform_calls(cluster: &Cluster) -> u64 {
     let stats = cluster.platform.stats();
     stats.declaration_reads + stats.instance_reads
 }
 
 /// Returns the bytes that the entries have sent to each other.
-fn bytes(cluster: &Cluster) -> u64 {
+fn peer_bytes(cluster: &Cluster) -> u64 {
     let entries = cluster.entries.iter();
     entries
         .map(|entry| entry.context.peers.traffic().bytes().1)
         .sum()
 }
 
-/// Lets operators race on one service while the platform fails in every way.
-async fn race(seed: u64) -> Result<Figures, Box<dyn Error>> {
+/// Runs operators that change one service concurrently while the platform fails.
+async fn measure_race(seed: u64) -> Result<Report, Box<dyn Error>> {
     let cluster = Arc::new(Cluster::start(plan(ENTRIES)).await?);
-    let notes: Vec<Arc<Mutex<Seen>>> = cluster.entries.iter().map(observe).collect();
+    let observations: Vec<Arc<Mutex<Observations>>> = cluster.entries.iter().map(observe).collect();
     let mut operators = JoinSet::new();
     for operator in 0..OPERATORS {
         let random = ChaCha8Rng::seed_from_u64(seed * OPERATORS + operator);
-        operators.spawn(operate(Arc::clone(&cluster), operator, random));
+        operators.spawn(run_operator(Arc::clone(&cluster), operator, random));
     }
-    let faults = tokio::spawn(trouble(Arc::clone(&cluster), seed));
+    let faults = tokio::spawn(inject_faults(Arc::clone(&cluster), seed));
     let mut accepted = Vec::new();
     while let Some(done) = operators.join_next().await {
         accepted.extend(done?.map_err(|status| status.message().to_owned())?);
     }
     faults.abort();
     cluster.platform.set_faults(Faults::default());
-    sleep(FINISH).await;
-    let figures = judge(&accepted, &notes)?;
+    sleep(PROPAGATION_TIME).await;
+    let report = evaluate(&accepted, &observations)?;
     cluster.entries.iter().for_each(Entry::kill);
-    Ok(figures)
+    Ok(report)
 }
 
-/// Changes the platform's faults again and again.
-async fn trouble(cluster: Arc<Cluster>, seed: u64) {
+/// Changes the platform's faults at random intervals until the task is aborted.
+async fn inject_faults(cluster: Arc<Cluster>, seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     loop {
         let entry = random.random_range(0..ENTRIES);
@@ -161,15 +164,15 @@
     }
 }
 
-/// Gets changes accepted, each tried again until its outcome is known.
-async fn operate(
+/// Submits changes until [`CHANGES`] of them are accepted.
+async fn run_operator(
     cluster: Arc<Cluster>,
     operator: u64,
     mut random: ChaCha8Rng,
 ) -> Result<Vec<Accepted>, tonic::Status> {
     let mut accepted = Vec::new();
     while accepted.len() < usize::try_from(CHANGES).unwrap_or_default() {
-        sleep(Duration::from_millis(random.random_range(0..PAUSE_MS))).await;
+        sleep(Duration::from_millis(random.random_range(0..MAX_PAUSE_MS))).await;
         let entry = random.random_range(0..ENTRIES);
         let change_id = format!("{operator}-{}-{:x}", accepted.len(), random.random::<u32>());
         let declarations = cluster.entries[entry].context.declarations.borrow().clone();
@@ -178,7 +181,7 @@
             revision,
             ..tracker("v1")
         };
-        let stored = change(&cluster, &mut random, service, &change_id).await?;
+        let stored = submit_change(&cluster, &mut random, service, &change_id).await?;
         accepted.extend(stored.map(|revision| Accepted {
             revision,
             change_id,
@@ -188,8 +191,9 @@
     Ok(accepted)
 }
 
-/// Sends a change, to any entry, until its outcome is known; returns its revision if accepted.
-async fn change(
+/// Sends a change to random entries until its outcome is known; returns its revision if it was
+/// accepted.
+async fn submit_change(
     cluster: &Cluster,
     random: &mut ChaCha8Rng,
     service: Service,
@@ -213,26 +217,26 @@
     }
 }
 
-/// Notes what an entry shows.
-fn observe(entry: &Entry) -> Arc<Mutex<Seen>> {
-    let seen = Arc::new(Mutex::new(Seen::default()));
+/// Starts to record the declarations that come into force at an entry.
+fn observe(entry: &Entry) -> Arc<Mutex<Observations>> {
+    let observations = Arc::new(Mutex::new(Observations::default()));
     let mut declarations = entry.context.declarations.clone();
-    let notes = Arc::clone(&seen);
+    let recorded = Arc::clone(&observations);
     tokio::spawn(async move {
         while declarations.changed().await.is_ok() {
             let service = declarations.borrow_and_update().service(TRACKER).cloned();
-            let mut notes = notes.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut recorded = recorded.lock().unwrap_or_else(PoisonError::into_inner);
             if let Some(service) = service {
-                notes.note(&service);
+                recorded.record(&service);
             }
         }
     });
-    seen
+    observations
 }
 
-impl Seen {
-    /// Notes a declaration that is in force now, and the changes before it that it remembers.
-    fn note(&mut self, service: &Service) {
+impl Observations {
+    /// Records a declaration that has come into force, and the earlier changes in its history.
+    fn record(&mut self, service: &Service) {
         let highest = self.revisions.last_key_value().map_or(0, |(key, _)| *key);
         self.reverts += u64::from(service.revision < highest);
         for past in &service.history {
@@ -243,20 +247,26 @@
     }
 }
 
-/// Returns the figures of a race.
-fn judge(accepted: &[Accepted], seen: &[Arc<Mutex<Seen>>]) -> Result<Figures, Box<dyn Error>> {
+/// Compares the accepted changes with the observations of every entry.
+fn evaluate(
+    accepted: &[Accepted],
+    observations: &[Arc<Mutex<Observations>>],
+) -> Result<Report, Box<dyn Error>> {
     let mut in_force = Histogram::<u64>::new(3)?;
     let mut lost = 0_u64;
     let mut reverts = 0;
-    for seen in seen {
-        reverts += seen.lock().unwrap_or_else(PoisonError::into_inner).reverts;
+    for observed in observations {
+        reverts += observed
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .reverts;
     }
     for change in accepted {
         let mut latest = Some(change.at);
-        for seen in seen {
-            let seen = seen.lock().unwrap_or_else(PoisonError::into_inner);
-            let note = seen.revisions.get(&change.revision);
-            let at = note.filter(|(_, id)| *id == change.change_id);
+        for observed in observations {
+            let observed = observed.lock().unwrap_or_else(PoisonError::into_inner);
+            let observation = observed.revisions.get(&change.revision);
+            let at = observation.filter(|(_, id)| *id == change.change_id);
             latest = latest.and_then(|latest| at.map(|(at, _)| latest.max(*at)));
         }
         match latest {
@@ -265,8 +275,8 @@
         }
     }
     let revisions: BTreeSet<u64> = accepted.iter().map(|change| change.revision).collect();
-    let twice = accepted.len() - revisions.len();
-    Ok(Figures::from([
+    let duplicates = accepted.len() - revisions.len();
+    Ok(Report::from([
         ("changes", accepted.len().into()),
         (
             "in_force_p50_ms",
@@ -279,7 +289,7 @@
         ("in_force_max_ms", milliseconds(in_force.max())),
         ("reverts", reverts.into()),
         ("lost", lost.into()),
-        ("conflicts_wrongly_accepted", twice.into()),
+        ("conflicts_wrongly_accepted", duplicates.into()),
     ]))
 }
 
--- a/programs/src/bench/decisions.rs
+++ b/programs/src/bench/decisions.rs
@@ -1,4 +1,5 @@
-//! Scenario `decisions`: processor time of one admission as servers, accounts and live requests grow.
+//! Scenario `decisions`: median time of one admission for several numbers of backend servers,
+//! client accounts and live requests. Runs the admission task alone, without a cluster.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -18,17 +19,17 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use super::Figures;
+use super::Report;
 use super::stopwatch::microseconds;
 use crate::cluster;
 
-/// Admissions that are timed at each size.
+/// Admissions measured at each size.
 const DECISIONS: usize = 2_000;
 
 /// Service of the backend servers.
 const SERVICE: &str = "briefs";
 
-/// Sizes of one run.
+/// Numbers of backend servers, client accounts and live requests of one run.
 #[derive(Clone, Copy, Debug)]
 struct Size {
     servers: usize,
@@ -37,20 +38,20 @@
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
     let base = Size {
         servers: 714,
         accounts: 350,
         live: 10_000,
     };
-    let sized = |servers| Size { servers, ..base };
-    Ok(Figures::from([
+    let with_servers = |servers| Size { servers, ..base };
+    Ok(Report::from([
         (
             "decision_us_servers_7",
-            time(
+            median_us(
                 Size {
                     live: 100,
-                    ..sized(7)
+                    ..with_servers(7)
                 },
                 seed,
             )
@@ -59,10 +60,10 @@
         ),
         (
             "decision_us_servers_71",
-            time(
+            median_us(
                 Size {
                     live: 1_000,
-                    ..sized(71)
+                    ..with_servers(71)
                 },
                 seed,
             )
@@ -71,12 +72,15 @@
         ),
         (
             "decision_us_servers_357",
-            time(sized(357), seed).await?.into(),
+            median_us(with_servers(357), seed).await?.into(),
+        ),
+        (
+            "decision_us_servers_714",
+            median_us(base, seed).await?.into(),
         ),
-        ("decision_us_servers_714", time(base, seed).await?.into()),
         (
             "decision_us_accounts_1",
-            time(
+            median_us(
                 Size {
                     accounts: 1,
                     ..base
@@ -88,7 +92,7 @@
         ),
         (
             "decision_us_accounts_35",
-            time(
+            median_us(
                 Size {
                     accounts: 35,
                     ..base
@@ -100,11 +104,11 @@
         ),
         (
             "decision_us_live_0",
-            time(Size { live: 0, ..base }, seed).await?.into(),
+            median_us(Size { live: 0, ..base }, seed).await?.into(),
         ),
         (
             "decision_us_live_1000",
-            time(
+            median_us(
                 Size {
                     live: 1_000,
                     ..base
@@ -118,18 +122,22 @@
 }
 
 /// Returns the median time of an admission and its release, in microseconds.
-async fn time(size: Size, seed: u64) -> Result<u64, Box<dyn Error>> {
+async fn median_us(size: Size, seed: u64) -> Result<u64, Box<dyn Error>> {
     let (admission, _directory, stop) = start(size.servers);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut live: Vec<Permit> = Vec::with_capacity(size.live);
     for _ in 0..size.live {
-        live.push(admission.acquire(need(&mut random, size)).await?);
+        live.push(
+            admission
+                .acquire(random_requirements(&mut random, size))
+                .await?,
+        );
     }
     let mut times = Histogram::<u64>::new(3)?;
     for _ in 0..DECISIONS {
-        let need = need(&mut random, size);
+        let requirements = random_requirements(&mut random, size);
         let started = Instant::now();
-        let permit = admission.acquire(need).await?;
+        let permit = admission.acquire(requirements).await?;
         times.record(microseconds(started.elapsed()))?;
         drop(permit);
     }
@@ -137,7 +145,7 @@
     Ok(times.value_at_quantile(0.5))
 }
 
-/// Starts the admission task with a number of servers, all in one failure domain.
+/// Starts the admission task with `servers` backend servers, all in one failure domain.
 fn start(servers: usize) -> (Admission, watch::Sender<Arc<Directory>>, CancellationToken) {
     let directory: Directory = (0..servers).map(server).collect();
     let (sender, directory) = watch::channel(Arc::new(directory));
@@ -157,7 +165,7 @@
     (admission, sender, stop)
 }
 
-/// Returns the server with an index.
+/// Returns the backend server with an index.
 fn server(index: usize) -> Server {
     Server {
         name: Arc::from(format!("service-{index}")),
@@ -172,8 +180,8 @@
     }
 }
 
-/// Returns the need of a request of a random account and prompt.
-fn need(random: &mut ChaCha8Rng, size: Size) -> Requirements {
+/// Returns the requirements of a request with a random account and prompt prefix.
+fn random_requirements(random: &mut ChaCha8Rng, size: Size) -> Requirements {
     Requirements {
         service: Arc::from(SERVICE),
         version: Arc::from("v1"),
--- a/programs/src/bench/moves.rs
+++ b/programs/src/bench/moves.rs
@@ -1,5 +1,6 @@
-//! Scenario `moves`: good versions that must be done in time and bad ones that must be taken back,
-//! against a ramp that goes by the clock alone.
+//! Scenario `moves`: moves to good versions, which must end in time, and to bad versions, which
+//! must be taken back. The naive baseline is a ramp that follows a fixed schedule regardless of
+//! faults.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -15,7 +16,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::Figures;
+use super::Report;
 use crate::cluster::{self, BRIEFS, Cluster, Plan, TRACKER};
 use crate::commands::moves::{deadline_ms, ended};
 
@@ -31,59 +32,61 @@
 /// Runs of each bad case.
 const BAD_RUNS: usize = 3;
 
-/// Moves that run at once, each on a cluster of its own.
-const AT_ONCE: usize = 3;
+/// Moves that run concurrently, each on a cluster of its own.
+const CONCURRENT_MOVES: usize = 3;
 
-/// Time that the operator gives each move.
-const WITHIN: Duration = Duration::from_secs(20);
+/// Time from the start of a move to its deadline.
+const MOVE_DEADLINE: Duration = Duration::from_secs(20);
 
-/// Longest time that the operator waits for the end of a move.
+/// Time after which the operator stops waiting for the end of a move.
 const WATCH_LIMIT: Duration = Duration::from_secs(25);
 
-/// Pause between two looks at the stand-ins.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which the stand-ins' counters are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Time between two tokens of a generation.
 const TOKEN_INTERVAL: Duration = Duration::from_millis(3);
 
-/// What one move came to.
+/// Result of one move.
 struct Outcome {
     case: Case,
-    /// The end that the operator was told; absent if none came.
+    /// Final state that the operator received, if any.
     end: Option<MoveState>,
     in_time: bool,
-    seen: Seen,
+    observation: Observation,
     tally: Tally,
-    /// Requests that met the fault.
+    /// Requests that were subject to the fault.
     faulted: u64,
 }
 
-/// What was seen of the new version's requests.
+/// Observations of the requests to the new version.
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
-    /// Requests to the new version, and to both, when the fault first showed.
+struct Observation {
+    /// Requests to the new version and to both versions, and the time, when the fault first
+    /// affected a request.
     at_fault: Option<(u64, u64, Instant)>,
-    /// When no entry sent requests to the new version any more.
+    /// Time at which every entry had stopped sending requests to the new version.
     stopped: Option<Instant>,
-    /// Requests to the new version in the end.
+    /// Requests to the new version at the end of the move.
     requests: u64,
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
     let moves = measure(seed, false).await?;
     let naive = measure(seed, true).await?;
-    let mut figures = summarize(&moves);
+    let mut report = summarize(&moves);
     let bad = |outcomes: &[Outcome]| -> u64 {
         let bad = outcomes.iter().filter(|outcome| outcome.case.bad);
         bad.map(|outcome| outcome.faulted).sum()
     };
-    figures.insert("bad_requests", bad(&moves).into());
-    figures.insert("naive_bad_requests", bad(&naive).into());
-    Ok(figures)
+    report.insert("bad_requests", bad(&moves).into());
+    report.insert("naive_bad_requests", bad(&naive).into());
+    Ok(report)
 }
 
-/// Runs every case several times, in an order drawn from the seed.
+/// Runs every case several times, in a random order given by the seed; the naive ramp runs the bad
+/// cases only.
 async fn measure(seed: u64, naive: bool) -> Result<Vec<Outcome>, Box<dyn Error>> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut cases: Vec<Case> = cases::all()
@@ -98,14 +101,14 @@
         .collect();
     let outcomes: Vec<Result<Outcome, Box<dyn Error>>> = futures::stream::iter(seeded)
         .map(|(case, seed)| run_one(case, seed, naive))
-        .buffer_unordered(AT_ONCE)
+        .buffer_unordered(CONCURRENT_MOVES)
         .collect()
         .await;
     outcomes.into_iter().collect()
 }
 
-/// Returns the settings of moves at each entry.
-fn adjust(_: usize, settings: &mut Settings) {
+/// Shortens the stages of moves.
+fn adjust_settings(_: usize, settings: &mut Settings) {
     settings.moves.plan = schedule::Plan {
         shares: vec![50, 250, 500, 1_000],
         dwell_floor_ms: 300,
@@ -114,15 +117,15 @@
     };
 }
 
-/// Returns the settings of a ramp that goes by the clock alone.
+/// Sets up the naive ramp: stages need no requests and the comparison of versions never rejects.
 fn adjust_naive(index: usize, settings: &mut Settings) {
-    adjust(index, settings);
+    adjust_settings(index, settings);
     settings.moves.plan.requests = 0;
     settings.moves.tolerance.false_alarm = 0.0;
 }
 
-/// Brings up a cluster with two backend servers of each version.
-async fn bring_up(case: Case, naive: bool) -> Result<Cluster, Box<dyn Error>> {
+/// Starts a cluster with two backend servers of each version and sets the faults of the case.
+async fn start_cluster(case: Case, naive: bool) -> Result<Cluster, Box<dyn Error>> {
     let plan = Plan {
         engines: 2,
         services: 2,
@@ -130,7 +133,7 @@
             token_interval: TOKEN_INTERVAL,
             ..engine::Config::default()
         },
-        adjust_settings: if naive { adjust_naive } else { adjust },
+        adjust_settings: if naive { adjust_naive } else { adjust_settings },
         ..Plan::default()
     };
     let mut cluster = Cluster::start(plan.clone()).await?;
@@ -154,34 +157,34 @@
         }
     }
     let known = cluster.engines.len() + cluster.services.len();
-    cluster::wait_until("every entry knows the new version", || {
+    cluster::wait_until("every entry knows the servers of the new version", || {
         let entries = &mut cluster.entries.iter();
         entries.all(|entry| entry.context.directory.borrow().iter().count() == known)
     })
     .await?;
-    case.fault.set(&cluster);
+    case.fault.apply(&cluster);
     Ok(cluster)
 }
 
 /// Runs one move under load.
 async fn run_one(case: Case, seed: u64, naive: bool) -> Result<Outcome, Box<dyn Error>> {
-    let cluster = Arc::new(bring_up(case, naive).await?);
+    let cluster = Arc::new(start_cluster(case, naive).await?);
     let service = case.fault.service();
     let load = Load::start(&cluster, service, seed);
-    let deadline = deadline_ms(WITHIN);
+    let deadline = deadline_ms(MOVE_DEADLINE);
     let mut operator = cluster.operator(0)?;
     let started = operator
         .start_move(service, "v2", deadline)
         .await
         .map_err(|status| status.message().to_owned())?;
     if case.dies
-        && let Some(plain) = cluster.services.last()
+        && let Some(instance) = cluster.services.last()
     {
-        plain.service.life().die();
+        instance.service.life().die();
     }
-    let (verdict, sight) = tokio::join!(
+    let (end, observation) = tokio::join!(
         watch(&cluster, service, &started.move_id),
-        look(&cluster, service)
+        observe(&cluster, service)
     );
     let in_time = deadline_ms(Duration::ZERO) <= deadline;
     let tally = load.stop().await;
@@ -189,15 +192,15 @@
     cluster.entries.iter().for_each(Entry::kill);
     Ok(Outcome {
         case,
-        end: verdict,
+        end,
         in_time,
-        seen: sight,
+        observation,
         tally,
         faulted,
     })
 }
 
-/// Watches a move at another entry than the one that started it; returns the end that it told.
+/// Watches a move at another entry than the one that started it; returns its final state.
 async fn watch(cluster: &Cluster, service: &str, id: &str) -> Option<MoveState> {
     let watching = async {
         let mut operator = cluster.operator(1).ok()?;
@@ -212,34 +215,40 @@
     tokio::time::timeout(WATCH_LIMIT, watching).await.ok()?
 }
 
-/// Looks at the stand-ins until no entry moves any more.
-async fn look(cluster: &Cluster, service: &str) -> Seen {
-    let mut seen = Seen::default();
+/// Polls the stand-ins' counters until the move has ended at every entry.
+async fn observe(cluster: &Cluster, service: &str) -> Observation {
+    let mut observation = Observation::default();
     let limit = Instant::now() + WATCH_LIMIT;
     loop {
         let (old, new, faulted) = counts(cluster, service);
-        if faulted > 0 && seen.at_fault.is_none() {
-            seen.at_fault = Some((new, old + new, Instant::now()));
+        if faulted > 0 && observation.at_fault.is_none() {
+            observation.at_fault = Some((new, old + new, Instant::now()));
         }
         let records: Vec<_> = cluster
             .entries
             .iter()
             .filter_map(|entry| entry.context.moves.last(service))
             .collect();
-        let all = records.len() == cluster.entries.len();
-        if all && seen.stopped.is_none() && records.iter().all(|record| record.share() == 0) {
-            seen.stopped = Some(Instant::now());
+        let all_recorded = records.len() == cluster.entries.len();
+        if all_recorded
+            && observation.stopped.is_none()
+            && records.iter().all(|record| record.share() == 0)
+        {
+            observation.stopped = Some(Instant::now());
         }
-        if all && records.iter().all(|record| record.phase.ended()) || Instant::now() > limit {
+        if all_recorded && records.iter().all(|record| record.phase.ended())
+            || Instant::now() > limit
+        {
             let (_, new, _) = counts(cluster, service);
-            seen.requests = new;
-            return seen;
+            observation.requests = new;
+            return observation;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Returns the requests to the old and to the new version, and those that met a fault of the new.
+/// Returns the number of requests to the old version, of those to the new version, and of those
+/// subject to a fault of the new version.
 fn counts(cluster: &Cluster, service: &str) -> (u64, u64, u64) {
     let mut counts = (0, 0, 0);
     let mut add = |version: &str, requests, faulted| match version {
@@ -256,28 +265,28 @@
         }
     }
     if service == TRACKER {
-        for plain in &cluster.services {
-            let stats = plain.service.stats();
-            add(&plain.instance.version, stats.requests, stats.faulted);
+        for instance in &cluster.services {
+            let stats = instance.service.stats();
+            add(&instance.instance.version, stats.requests, stats.faulted);
         }
     }
     counts
 }
 
-/// Returns the value that 95 % of the values do not exceed.
+/// Returns the 95th percentile, by the nearest rank.
 fn p95(mut values: Vec<u64>) -> u64 {
     values.sort_unstable();
     let index = (values.len() * 95).div_ceil(100);
     values.get(index.saturating_sub(1)).copied().unwrap_or(0)
 }
 
-/// Returns thousandths as a fraction.
+/// Converts thousandths to a fraction.
 fn fraction(thousandths: u64) -> f64 {
     u32::try_from(thousandths).map_or(1.0, f64::from) / 1_000.0
 }
 
-/// Returns the figures of all moves.
-fn summarize(outcomes: &[Outcome]) -> Figures {
+/// Returns the measurements over all moves; prints the moves that did not end as expected.
+fn summarize(outcomes: &[Outcome]) -> Report {
     let (bad, good): (Vec<&Outcome>, Vec<&Outcome>) =
         outcomes.iter().partition(|outcome| outcome.case.bad);
     let ended = |outcomes: &[&Outcome], phase: MovePhase| -> u64 {
@@ -289,31 +298,31 @@
         outcome.in_time && done.is_some_and(|end| end.phase() == MovePhase::Done)
     });
     let shares = bad.iter().filter_map(|outcome| {
-        let (new, all, _) = outcome.seen.at_fault?;
+        let (new, all, _) = outcome.observation.at_fault?;
         Some(new * 1_000 / all.max(1))
     });
     let after = bad.iter().filter_map(|outcome| {
-        let (new, _, _) = outcome.seen.at_fault?;
-        Some(outcome.seen.requests.saturating_sub(new))
+        let (new, _, _) = outcome.observation.at_fault?;
+        Some(outcome.observation.requests.saturating_sub(new))
     });
     let times = bad.iter().filter_map(|outcome| {
-        let (_, _, at) = outcome.seen.at_fault?;
-        let taken = outcome.seen.stopped?.saturating_duration_since(at);
-        u64::try_from(taken.as_millis()).ok()
+        let (_, _, at) = outcome.observation.at_fault?;
+        let elapsed = outcome.observation.stopped?.saturating_duration_since(at);
+        u64::try_from(elapsed.as_millis()).ok()
     });
     for outcome in outcomes {
         let end = outcome.end.as_ref();
         let phase = end.map_or("none", |end| end.phase().as_str_name());
         let reason = end.map_or("", |end| end.reason.as_str());
-        let right = outcome.case.bad == (phase == MovePhase::TakenBack.as_str_name());
-        if !right {
+        let as_expected = outcome.case.bad == (phase == MovePhase::TakenBack.as_str_name());
+        if !as_expected {
             eprintln!("{}: {phase} {reason}", outcome.case.name);
         }
     }
     let sum = |count: fn(&Tally) -> u64| -> u64 {
         outcomes.iter().map(|outcome| count(&outcome.tally)).sum()
     };
-    Figures::from([
+    Report::from([
         ("good_total", good.len().into()),
         ("good_in_time", in_time.count().into()),
         ("good_taken_back", ended(&good, MovePhase::TakenBack).into()),
--- a/programs/src/bench/moves/load.rs
+++ b/programs/src/bench/moves/load.rs
@@ -1,4 +1,4 @@
-//! Load on a service that is moved, with each answer judged.
+//! Load generator for a service that is moved; checks every answer.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -19,28 +19,28 @@
 /// Tokens of each answer.
 const TOKENS: u64 = 16;
 
-/// Longest wait for the last answers.
-const LAST_ANSWERS: Duration = Duration::from_secs(5);
+/// Time after the stop in which outstanding answers must arrive.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the callers were answered.
+/// Counts of the callers' answers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Tally {
-    /// Answers, failed and wrong ones included.
+    /// All answers, including failed and wrong ones.
     pub(super) answers: u64,
     /// Requests that ended in an error.
     pub(super) failed: u64,
-    /// Answers that no version gives.
+    /// Answers that differ from those of every version.
     pub(super) wrong: u64,
 }
 
-/// How one request ended.
-enum Judgement {
-    Right,
+/// Result of one request.
+enum Verdict {
+    Correct,
     Failed,
     Wrong,
 }
 
-/// Counters that the callers share.
+/// Counters and stop flag that the callers share.
 #[derive(Debug, Default)]
 struct Counters {
     answers: AtomicU64,
@@ -63,17 +63,17 @@
         for index in 0..CALLERS * cluster.entries.len() {
             let caller = cluster.caller(index % cluster.entries.len());
             let random = ChaCha8Rng::seed_from_u64(seed.wrapping_add(index as u64));
-            callers.spawn(send(caller, service, random, Arc::clone(&counters)));
+            callers.spawn(run_caller(caller, service, random, Arc::clone(&counters)));
         }
         Self { callers, counters }
     }
 
-    /// Stops the callers once their last answers have come, and returns what they were answered; an
-    /// answer that does not come in time counts as failed.
+    /// Stops the callers after their outstanding answers and returns the counts; an answer that
+    /// does not arrive in time counts as failed.
     pub(super) async fn stop(mut self) -> Tally {
         self.counters.stopped.store(true, Ordering::Relaxed);
         let waiting = async { while self.callers.join_next().await.is_some() {} };
-        let _ = tokio::time::timeout(LAST_ANSWERS, waiting).await;
+        let _ = tokio::time::timeout(DRAIN_TIMEOUT, waiting).await;
         let unanswered = self.callers.len() as u64;
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         Tally {
@@ -84,34 +84,34 @@
     }
 }
 
-/// Sends one request after another.
-async fn send(
+/// Sends one request after another until the load is stopped.
+async fn run_caller(
     caller: Caller,
     service: &'static str,
     mut random: ChaCha8Rng,
     counters: Arc<Counters>,
 ) {
     while !counters.stopped.load(Ordering::Relaxed) {
-        let judgement = if service == BRIEFS {
+        let verdict = if service == BRIEFS {
             generate(&caller, &mut random).await
         } else {
-            read(&caller, &mut random).await
+            read_record(&caller, &mut random).await
         };
         counters.answers.fetch_add(1, Ordering::Relaxed);
-        match judgement {
-            Judgement::Right => {}
-            Judgement::Failed => {
+        match verdict {
+            Verdict::Correct => {}
+            Verdict::Failed => {
                 counters.failed.fetch_add(1, Ordering::Relaxed);
             }
-            Judgement::Wrong => {
+            Verdict::Wrong => {
                 counters.wrong.fetch_add(1, Ordering::Relaxed);
             }
         }
     }
 }
 
-/// Asks for a generation.
-async fn generate(caller: &Caller, random: &mut ChaCha8Rng) -> Judgement {
+/// Requests a generation and compares its text with the oracle's.
+async fn generate(caller: &Caller, random: &mut ChaCha8Rng) -> Verdict {
     let prompt = format!("manifest {:x}", random.random::<u64>());
     let completion = Completion {
         model: BRIEFS.to_owned(),
@@ -120,17 +120,17 @@
         stream: false,
     };
     let Ok(answer) = caller.generate(&completion).await else {
-        return Judgement::Failed;
+        return Verdict::Failed;
     };
-    let right = ["v1", "v2"].map(|version| oracle::answer(version, &prompt, TOKENS));
-    if right.contains(&answer) {
-        return Judgement::Right;
+    let expected = ["v1", "v2"].map(|version| oracle::answer(version, &prompt, TOKENS));
+    if expected.contains(&answer) {
+        return Verdict::Correct;
     }
-    Judgement::Wrong
+    Verdict::Wrong
 }
 
-/// Reads a record, one in four on the route `/plots`.
-async fn read(caller: &Caller, random: &mut ChaCha8Rng) -> Judgement {
+/// Reads a record and checks it; one in four reads uses the route `/plots`.
+async fn read_record(caller: &Caller, random: &mut ChaCha8Rng) -> Verdict {
     let route = if random.random_range(0..4) == 0 {
         "plots"
     } else {
@@ -141,9 +141,9 @@
         .call(Method::GET, &format!("/s/tracker{path}"), "")
         .await;
     match reply {
-        Ok(reply) if reply.status != 200 => Judgement::Failed,
-        Ok(reply) if reply.body.contains(&service::record(&path)) => Judgement::Right,
-        Ok(_) => Judgement::Wrong,
-        Err(_) => Judgement::Failed,
+        Ok(reply) if reply.status != 200 => Verdict::Failed,
+        Ok(reply) if reply.body.contains(&service::record(&path)) => Verdict::Correct,
+        Ok(_) => Verdict::Wrong,
+        Err(_) => Verdict::Failed,
     }
 }
--- a/programs/src/bench/resume.rs
+++ b/programs/src/bench/resume.rs
@@ -1,5 +1,5 @@
-//! Scenario `resume`: how soon output goes on after an engine died, paused or an entry was lost,
-//! against restarting from the beginning.
+//! Scenario `resume`: time until the output of a generation continues after its engine died or
+//! paused or its entry died, compared with restarting the generation from the beginning.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use tokio_util::sync::CancellationToken;
 
-use super::{Figures, milliseconds};
+use super::{Report, milliseconds};
 use crate::caller::{Answer, Completion};
 use crate::cluster::{ACCOUNT, BRIEFS, CALLER_KEY, Cluster, Plan};
 use faults::{Fault, Injector};
@@ -24,33 +24,33 @@
 mod faults;
 mod naive;
 
-/// Generations on each way.
+/// Generations of each strategy.
 const GENERATIONS: usize = 960;
 
-/// Callers at a time.
+/// Generations in flight.
 const CALLERS: usize = 96;
 
-/// Most tokens of each answer; it has at least half of them.
+/// Maximum number of tokens of each answer; an answer has at least half as many.
 const MAX_TOKENS: u64 = 300;
 
 /// Engines, spread over the failure domains.
 const ENGINES: usize = 6;
 
-/// Version that answers.
+/// Version of the service.
 const VERSION: &str = "v1";
 
-/// A token that a caller received.
+/// Arrival of a token at a caller.
 #[derive(Clone, Debug)]
 struct Arrival {
     at: Instant,
     index: u64,
     server: Arc<str>,
     attempt: u64,
-    /// Entry that it came through.
+    /// Entry that sent it; absent if the engine was called directly.
     entry: Option<SocketAddr>,
 }
 
-/// What one generation measured.
+/// Measurements of one generation.
 #[derive(Default)]
 struct Sample {
     arrivals: Vec<Arrival>,
@@ -59,40 +59,40 @@
     wrong: bool,
 }
 
-/// What one way measured.
-struct Measured {
+/// Measurements of one strategy.
+struct Measurements {
     samples: Vec<Sample>,
     faults: Vec<Fault>,
     generated: u64,
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
-    let through = measure(seed, Way::Entries).await?;
-    let naive = measure(seed, Way::Naive).await?;
-    let engines = through.latencies(|fault| matches!(fault, Fault::Engine { .. }))?;
-    let entries = through.latencies(|fault| matches!(fault, Fault::Entry { .. }))?;
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
+    let resumed = measure(seed, Strategy::Entries).await?;
+    let naive = measure(seed, Strategy::Naive).await?;
+    let engines = resumed.latencies(|fault| matches!(fault, Fault::Engine { .. }))?;
+    let entries = resumed.latencies(|fault| matches!(fault, Fault::Entry { .. }))?;
     let restarts = naive.latencies(|_| true)?;
-    let sum = |count: fn(&Sample) -> u64| through.samples.iter().map(count).sum::<u64>();
-    Ok(Figures::from([
-        ("generations", through.samples.len().into()),
+    let sum = |count: fn(&Sample) -> u64| resumed.samples.iter().map(count).sum::<u64>();
+    Ok(Report::from([
+        ("generations", resumed.samples.len().into()),
         ("tokens_lost", sum(|sample| sample.lost).into()),
         ("tokens_repeated", sum(|sample| sample.repeated).into()),
         ("answers_wrong", sum(|sample| sample.wrong.into()).into()),
-        ("faults", through.faults.len().into()),
+        ("faults", resumed.faults.len().into()),
         ("resumes", engines.len().into()),
-        ("resume_p50_ms", at(&engines, 0.5)),
-        ("resume_p95_ms", at(&engines, 0.95)),
-        ("resume_p99_ms", at(&engines, 0.99)),
-        ("resume_max_ms", at(&engines, 1.0)),
+        ("resume_p50_ms", quantile_ms(&engines, 0.5)),
+        ("resume_p95_ms", quantile_ms(&engines, 0.95)),
+        ("resume_p99_ms", quantile_ms(&engines, 0.99)),
+        ("resume_max_ms", quantile_ms(&engines, 1.0)),
         ("entry_resumes", entries.len().into()),
-        ("entry_resume_p99_ms", at(&entries, 0.99)),
-        ("entry_resume_max_ms", at(&entries, 1.0)),
-        ("extra_tokens_ratio", through.extra().into()),
-        ("naive_extra_tokens_ratio", naive.extra().into()),
+        ("entry_resume_p99_ms", quantile_ms(&entries, 0.99)),
+        ("entry_resume_max_ms", quantile_ms(&entries, 1.0)),
+        ("extra_tokens_ratio", resumed.extra_token_ratio().into()),
+        ("naive_extra_tokens_ratio", naive.extra_token_ratio().into()),
         ("naive_resumes", restarts.len().into()),
-        ("naive_resume_p50_ms", at(&restarts, 0.5)),
-        ("naive_resume_p95_ms", at(&restarts, 0.95)),
+        ("naive_resume_p50_ms", quantile_ms(&restarts, 0.5)),
+        ("naive_resume_p95_ms", quantile_ms(&restarts, 0.95)),
         (
             "naive_answers_wrong",
             naive
@@ -106,21 +106,21 @@
 }
 
 /// Returns a quantile in milliseconds.
-fn at(latencies: &Histogram<u64>, quantile: f64) -> serde_json::Value {
+fn quantile_ms(latencies: &Histogram<u64>, quantile: f64) -> serde_json::Value {
     milliseconds(latencies.value_at_quantile(quantile))
 }
 
-/// Ways to have generations made.
+/// Strategies for generations during faults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Way {
-    /// Through entries, which resume.
+enum Strategy {
+    /// Through entries, which resume generations.
     Entries,
-    /// Straight to the engines, from the beginning after each loss.
+    /// Directly at the engines, from the beginning after each failure.
     Naive,
 }
 
-/// Sends every prompt one way while engines and entries fail.
-async fn measure(seed: u64, way: Way) -> Result<Measured, Box<dyn Error>> {
+/// Sends every prompt by one strategy while engines and entries fail.
+async fn measure(seed: u64, strategy: Strategy) -> Result<Measurements, Box<dyn Error>> {
     let plan = Plan {
         entries: 3,
         engines: ENGINES,
@@ -129,30 +129,30 @@
     };
     let cluster = Cluster::start(plan).await?;
     let key = Key::new(cluster.entries[0].context.settings.keys.resume.bytes());
-    let (injector, targets) = Injector::new(cluster, seed, way);
+    let (injector, targets) = Injector::new(cluster, seed, strategy);
     let stop = CancellationToken::new();
-    let injecting = tokio::spawn(injector.run(stop.clone()));
-    let places = Arc::new(Semaphore::new(CALLERS));
+    let injection = tokio::spawn(injector.run(stop.clone()));
+    let permits = Arc::new(Semaphore::new(CALLERS));
     let mut callers = JoinSet::new();
     for (index, prompt) in prompts(seed).into_iter().enumerate() {
-        let place = Arc::clone(&places).acquire_owned().await?;
+        let permit = Arc::clone(&permits).acquire_owned().await?;
         let (targets, key) = (targets.clone(), key.clone());
         callers.spawn(async move {
-            let _place = place;
-            match way {
-                Way::Entries => through(&targets, &key, prompt, index).await,
-                Way::Naive => naive::generate(&targets, &prompt, index).await,
+            let _permit = permit;
+            match strategy {
+                Strategy::Entries => generate_through_entries(&targets, &key, prompt, index).await,
+                Strategy::Naive => naive::generate(&targets, &prompt, index).await,
             }
         });
     }
     let samples = callers.join_all().await;
     stop.cancel();
-    let (cluster, faults) = injecting.await?;
+    let (cluster, faults) = injection.await?;
     let generated = cluster
         .engines
         .iter()
-        .map(|held| held.engine.stats().tokens);
-    Ok(Measured {
+        .map(|engine| engine.engine.stats().tokens);
+    Ok(Measurements {
         samples,
         faults,
         generated: generated.sum(),
@@ -167,8 +167,8 @@
         .collect()
 }
 
-/// Has a generation made through the entries.
-async fn through(
+/// Requests a generation through the entries and records its tokens.
+async fn generate_through_entries(
     targets: &watch::Receiver<faults::Targets>,
     key: &Key,
     prompt: String,
@@ -199,7 +199,7 @@
         let Some(Ok(token)) = token.map(|text| key.open(text, &binding, 0, u64::MAX)) else {
             continue;
         };
-        sample.note(Arrival {
+        sample.record(Arrival {
             at: Instant::now(),
             index: token.index,
             server: token.server,
@@ -207,32 +207,33 @@
             entry: answer.entry(),
         });
     }
-    sample.judge(&prompt, &answer.text());
+    sample.check_answer(&prompt, &answer.text());
     sample
 }
 
 impl Sample {
-    /// Notes a token.
-    fn note(&mut self, arrival: Arrival) {
+    /// Records a token, and counts tokens that are missing before it or repeated.
+    fn record(&mut self, arrival: Arrival) {
         let next = self.arrivals.last().map_or(0, |last| last.index + 1);
         self.lost += arrival.index.saturating_sub(next);
         self.repeated += u64::from(arrival.index < next);
         self.arrivals.push(arrival);
     }
 
-    /// Compares the answer with the oracle's.
-    fn judge(&mut self, prompt: &str, text: &str) {
+    /// Compares the answer with the oracle's and counts missing tokens at its end.
+    fn check_answer(&mut self, prompt: &str, text: &str) {
         let length = oracle::length(VERSION, prompt, MAX_TOKENS);
         let received = self.arrivals.last().map_or(0, |last| last.index + 1);
         self.lost += length.saturating_sub(received);
         self.wrong = text != oracle::answer(VERSION, prompt, MAX_TOKENS);
     }
 
-    /// Returns how long after a fault the output of this generation went on, if the fault met it.
+    /// Returns the time from a fault to the first token from another attempt or entry, if the fault
+    /// affected this generation.
     fn latency(&self, fault: &Fault) -> Option<Duration> {
         let at = fault.at();
         let before = self.arrivals.iter().rfind(|arrival| arrival.at <= at)?;
-        let met = match fault {
+        let affected = match fault {
             Fault::Engine { server, .. } => before.server == *server,
             Fault::Entry { address, .. } => before.entry == Some(*address),
         };
@@ -240,15 +241,16 @@
             Fault::Engine { .. } => arrival.at > at && arrival.attempt > before.attempt,
             Fault::Entry { .. } => arrival.at > at && arrival.entry != before.entry,
         })?;
-        met.then(|| after.at - at)
+        affected.then(|| after.at - at)
     }
 }
 
-impl Measured {
-    /// Returns the latencies of all resumes after the faults that `which` names, in microseconds.
-    fn latencies(&self, which: fn(&Fault) -> bool) -> Result<Histogram<u64>, Box<dyn Error>> {
+impl Measurements {
+    /// Returns the latencies of all resumes after the faults that `matches` selects, in
+    /// microseconds.
+    fn latencies(&self, matches: fn(&Fault) -> bool) -> Result<Histogram<u64>, Box<dyn Error>> {
         let mut latencies = Histogram::new(3)?;
-        for fault in self.faults.iter().filter(|fault| which(fault)) {
+        for fault in self.faults.iter().filter(|fault| matches(fault)) {
             for latency in self
                 .samples
                 .iter()
@@ -260,8 +262,8 @@
         Ok(latencies)
     }
 
-    /// Returns the tokens generated beyond those delivered, over those delivered.
-    fn extra(&self) -> f64 {
+    /// Returns the ratio of tokens generated beyond those delivered to tokens delivered.
+    fn extra_token_ratio(&self) -> f64 {
         let delivered: usize = self
             .samples
             .iter()
@@ -273,7 +275,7 @@
     }
 }
 
-/// Returns how each engine is started.
+/// Returns the configuration of every engine.
 fn engine_config() -> engine::Config {
     engine::Config {
         version: VERSION.to_owned(),
--- a/programs/src/bench/resume/faults.rs
+++ b/programs/src/bench/resume/faults.rs
@@ -1,4 +1,4 @@
-//! Killing and pausing engines and losing entries while generations run.
+//! Injects faults while generations run: kills and pauses engines, and kills entries.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,42 +12,43 @@
 use tokio::time::{self, Instant};
 use tokio_util::sync::CancellationToken;
 
-use super::Way;
+use super::Strategy;
 use crate::cluster::Cluster;
 
 /// Time between two faults.
-const INTERVAL: Duration = Duration::from_secs(1);
+const FAULT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long a paused engine stays so: longer than any bound on silence.
-const PAUSE: Duration = Duration::from_secs(4);
+/// Duration of an engine's pause; longer than every limit on its silence, so that a pause counts as
+/// a failure.
+const ENGINE_PAUSE: Duration = Duration::from_secs(4);
 
-/// Time after which a dead engine is off the instance list.
+/// Delay after which the instance list shows a dead engine as leaving.
 const LIST_LAG: Duration = Duration::from_millis(500);
 
-/// Every n-th fault is the loss of an entry.
-const ENTRY_EVERY: usize = 6;
+/// One in this many faults kills an entry.
+const ENTRY_FAULT_EVERY: usize = 6;
 
-/// What happened, and when.
+/// A fault that was injected.
 #[derive(Clone, Debug)]
 pub(super) enum Fault {
-    /// An engine died or paused.
+    /// An engine was killed or paused.
     Engine {
-        /// When.
+        /// Time of the fault.
         at: Instant,
-        /// The engine.
+        /// Name of the engine.
         server: Arc<str>,
     },
-    /// An entry was lost.
+    /// An entry was killed.
     Entry {
-        /// When.
+        /// Time of the fault.
         at: Instant,
-        /// The entry.
+        /// Address of its callers' port.
         address: SocketAddr,
     },
 }
 
 impl Fault {
-    /// Returns when it happened.
+    /// Returns the time of the fault.
     pub(super) fn at(&self) -> Instant {
         match self {
             Self::Engine { at, .. } | Self::Entry { at, .. } => *at,
@@ -55,77 +56,83 @@
     }
 }
 
-/// Where callers can go.
+/// Entries and engines that callers can use.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Targets {
-    /// Callers' ports of the entries that live.
+    /// Callers' ports of the live entries.
     pub(super) entries: Vec<SocketAddr>,
-    /// Engines that live, paused ones included.
+    /// Live engines, including paused ones.
     pub(super) engines: Vec<Server>,
 }
 
-/// Makes faults.
+/// Injects faults into a cluster at a fixed interval.
 pub(super) struct Injector {
     cluster: Cluster,
     random: ChaCha8Rng,
     targets: watch::Sender<Targets>,
-    way: Way,
-    /// Since when each engine is paused, or that it is dead.
+    strategy: Strategy,
+    /// Start of the latest pause of each engine, if it was ever paused.
     paused: Vec<Option<Instant>>,
-    lost_entries: usize,
+    killed_entries: usize,
     faults: Vec<Fault>,
 }
 
 impl Injector {
-    /// Returns what makes the faults of a seed, and where callers can go.
-    pub(super) fn new(cluster: Cluster, seed: u64, way: Way) -> (Self, watch::Receiver<Targets>) {
+    /// Returns the injector of a seed, and a receiver of the targets for callers.
+    pub(super) fn new(
+        cluster: Cluster,
+        seed: u64,
+        strategy: Strategy,
+    ) -> (Self, watch::Receiver<Targets>) {
         let injector = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             targets: watch::Sender::default(),
             paused: vec![None; cluster.engines.len()],
-            lost_entries: 0,
+            killed_entries: 0,
             faults: Vec::new(),
             cluster,
-            way,
+            strategy,
         };
         injector.publish();
         let targets = injector.targets.subscribe();
         (injector, targets)
     }
 
-    /// Makes faults until stopped; returns the cluster and what was done.
+    /// Injects faults until stopped; returns the cluster and the faults.
     pub(super) async fn run(mut self, stop: CancellationToken) -> (Cluster, Vec<Fault>) {
         for count in 1.. {
-            let stopped = time::timeout(INTERVAL, stop.cancelled()).await.is_ok();
+            let stopped = time::timeout(FAULT_INTERVAL, stop.cancelled())
+                .await
+                .is_ok();
             if stopped {
                 break;
             }
-            match self.way {
-                Way::Entries if count % ENTRY_EVERY == 0 => self.lose_entry().await,
-                Way::Entries | Way::Naive if count % 2 == 0 => self.pause_engine(),
-                Way::Entries | Way::Naive => self.kill_engine().await,
+            match self.strategy {
+                Strategy::Entries if count % ENTRY_FAULT_EVERY == 0 => self.kill_entry().await,
+                Strategy::Entries | Strategy::Naive if count % 2 == 0 => self.pause_engine(),
+                Strategy::Entries | Strategy::Naive => self.kill_engine().await,
             }
             self.publish();
         }
         (self.cluster, self.faults)
     }
 
-    /// Kills an engine and starts another.
+    /// Kills an engine and starts a replacement.
     async fn kill_engine(&mut self) {
-        let Some(index) = self.engine() else {
+        let Some(index) = self.pick_engine() else {
             return;
         };
-        let held = &self.cluster.engines[index];
-        let server = Arc::from(held.instance.name.as_str());
+        let engine = &self.cluster.engines[index];
+        let server = Arc::from(engine.instance.name.as_str());
         let at = Instant::now();
-        held.engine.life().die();
+        engine.engine.life().die();
         self.faults.push(Fault::Engine { at, server });
-        let mut gone = held.instance.clone();
-        gone.leaving = true;
+        let mut leaving_instance = engine.instance.clone();
+        leaving_instance.leaving = true;
         let platform = self.cluster.platform.clone();
         tokio::spawn(async move {
             time::sleep(LIST_LAG).await;
-            platform.register(gone);
+            platform.register(leaving_instance);
         });
         if self
             .cluster
@@ -137,53 +144,55 @@
         }
     }
 
-    /// Pauses an engine, which returns later.
+    /// Pauses an engine for [`ENGINE_PAUSE`].
     fn pause_engine(&mut self) {
-        let Some(index) = self.engine() else {
+        let Some(index) = self.pick_engine() else {
             return;
         };
-        let held = &self.cluster.engines[index];
-        let server = Arc::from(held.instance.name.as_str());
+        let engine = &self.cluster.engines[index];
+        let server = Arc::from(engine.instance.name.as_str());
         let at = Instant::now();
-        held.engine.life().pause(PAUSE);
+        engine.engine.life().pause(ENGINE_PAUSE);
         self.paused[index] = Some(at);
         self.faults.push(Fault::Engine { at, server });
     }
 
-    /// Loses an entry and starts another.
-    async fn lose_entry(&mut self) {
-        let entry = &self.cluster.entries[self.lost_entries];
+    /// Kills the oldest live entry and starts a replacement.
+    async fn kill_entry(&mut self) {
+        let entry = &self.cluster.entries[self.killed_entries];
         let address = entry.addresses.callers;
         let at = Instant::now();
         entry.kill();
-        self.lost_entries += 1;
+        self.killed_entries += 1;
         self.faults.push(Fault::Entry { at, address });
-        // A failure to start leaves one entry fewer, which the figures then show.
+        // If the replacement cannot start, the cluster has one entry fewer, which the measurements
+        // show.
         let _ = self.cluster.add_entry().await;
     }
 
-    /// Draws an engine that lives and has not been paused lately.
-    fn engine(&mut self) -> Option<usize> {
-        let free = |index: &usize| {
-            let paused = self.paused[*index].is_some_and(|since| since.elapsed() < 2 * PAUSE);
+    /// Returns a random live engine that has not been paused recently.
+    fn pick_engine(&mut self) -> Option<usize> {
+        let eligible = |index: &usize| {
+            let paused =
+                self.paused[*index].is_some_and(|since| since.elapsed() < 2 * ENGINE_PAUSE);
             !paused && !self.cluster.engines[*index].engine.life().dead()
         };
-        let candidates: Vec<usize> = (0..self.paused.len()).filter(free).collect();
+        let candidates: Vec<usize> = (0..self.paused.len()).filter(eligible).collect();
         let last = candidates.len().checked_sub(1)?;
         Some(candidates[self.random.random_range(0..=last)])
     }
 
-    /// Tells callers where they can go.
+    /// Publishes the live entries and engines to the callers.
     fn publish(&self) {
-        let entries = self.cluster.entries[self.lost_entries..]
+        let entries = self.cluster.entries[self.killed_entries..]
             .iter()
             .map(|entry| entry.addresses.callers);
         let engines = self
             .cluster
             .engines
             .iter()
-            .filter(|held| !held.engine.life().dead())
-            .filter_map(|held| serde_json::to_value(&held.instance).ok())
+            .filter(|engine| !engine.engine.life().dead())
+            .filter_map(|engine| serde_json::to_value(&engine.instance).ok())
             .filter_map(|json| serde_json::from_value::<Instance>(json).ok())
             .filter_map(|instance| Server::try_from(instance).ok());
         self.targets.send_replace(Targets {
--- a/programs/src/bench/resume/naive.rs
+++ b/programs/src/bench/resume/naive.rs
@@ -1,4 +1,5 @@
-//! The naive way: straight to an engine, and from the beginning at another after each loss.
+//! The naive strategy: sends a generation directly to an engine, and restarts it at another one
+//! after each failure.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,13 +12,14 @@
 use super::faults::Targets;
 use super::{Arrival, MAX_TOKENS, Sample, VERSION};
 
-/// Silence after which the engine is taken for lost.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Time without a token after which an engine is taken for failed.
+const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Most attempts for one generation.
-const ATTEMPTS: u64 = 50;
+/// Maximum number of attempts at a generation.
+const MAX_ATTEMPTS: u64 = 50;
 
-/// Has a generation made; only tokens beyond the furthest so far count as output.
+/// Requests a generation; a token counts as output only if its index exceeds those of all tokens
+/// before it.
 pub(super) async fn generate(
     targets: &watch::Receiver<Targets>,
     prompt: &str,
@@ -26,13 +28,13 @@
     let client = Client::new();
     let mut sample = Sample::default();
     let mut text = String::new();
-    for attempt in 1..=ATTEMPTS {
+    for attempt in 1..=MAX_ATTEMPTS {
         let engines = targets.borrow().engines.clone();
-        let spread = index + usize::try_from(attempt).unwrap_or(0);
-        let server = &engines[spread % engines.len()];
+        let position = index + usize::try_from(attempt).unwrap_or(0);
+        let server = &engines[position % engines.len()];
         let generate = request(prompt, index, attempt);
         text.clear();
-        if follow(&client, server, &generate, &mut sample, &mut text).await {
+        if read_attempt(&client, server, &generate, &mut sample, &mut text).await {
             break;
         }
         let reference = Reference {
@@ -43,7 +45,7 @@
         let (client, server) = (client.clone(), server.clone());
         tokio::spawn(async move { client.cancel(&server, &reference).await });
     }
-    sample.judge(prompt, &text);
+    sample.check_answer(prompt, &text);
     sample
 }
 
@@ -60,25 +62,26 @@
     }
 }
 
-/// Reads one attempt; returns whether it was whole.
-async fn follow(
+/// Reads the tokens of one attempt; returns whether it was complete.
+async fn read_attempt(
     client: &Client,
     server: &Server,
     generate: &Generate,
     sample: &mut Sample,
     text: &mut String,
 ) -> bool {
-    let Ok(Ok(mut frames)) = time::timeout(SILENCE, client.generate(server, generate)).await else {
+    let Ok(Ok(mut frames)) = time::timeout(SILENCE_LIMIT, client.generate(server, generate)).await
+    else {
         return false;
     };
-    while let Ok(Ok(Some(frame))) = time::timeout(SILENCE, frames.next()).await {
+    while let Ok(Ok(Some(frame))) = time::timeout(SILENCE_LIMIT, frames.next()).await {
         let Some(token) = frame.token else {
             return true;
         };
         text.push_str(&token);
         let next = sample.arrivals.last().map_or(0, |last| last.index + 1);
         if frame.index == next {
-            sample.note(Arrival {
+            sample.record(Arrival {
                 at: Instant::now(),
                 index: frame.index,
                 server: Arc::clone(&server.name),
--- a/programs/src/bench/routing.rs
+++ b/programs/src/bench/routing.rs
@@ -1,7 +1,9 @@
-//! Scenario `routing`: nine entries keep engines within their memory and meet warm prefix caches.
+//! Scenario `routing`: whether nine entries keep engines within their memory and route requests to
+//! engines with their prefix in the cache.
 //!
-//! The same requests are sent three ways: through the entries, one of which dies and one of which
-//! joins on the way; and straight to engines picked at random or by the least reported load.
+//! The same requests are sent in three ways: through the entries, of which one dies and one joins
+//! meanwhile; directly to engines chosen at random; and directly to the engine with the least
+//! reported load.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -18,46 +20,46 @@
 use tokio::sync::Mutex;
 
 use super::stopwatch::{Sample, Stopwatch};
-use super::{Figures, milliseconds, ratio, server};
+use super::{Report, backend_server, milliseconds, ratio};
 use crate::caller::{Caller, Completion};
 use crate::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan};
 
-/// Requests sent each way.
+/// Requests sent in each of the three ways.
 const REQUESTS: usize = 3_000;
 
 /// Requests in flight.
 const CALLERS: usize = 240;
 
-/// Prompts share one of this many prefixes.
+/// Number of distinct prefixes that prompts share.
 const PREFIXES: usize = 48;
 
-/// Words of a prefix.
+/// Length of a prefix, in words.
 const PREFIX_WORDS: usize = 64;
 
-/// Words of a long prompt, one in [`LONG_EVERY`].
+/// Length of the tail of a long prompt, in words.
 const LONG_WORDS: usize = 1_500;
 
 /// One prompt in this many is long.
 const LONG_EVERY: usize = 30;
 
-/// Most tokens of each answer.
+/// Maximum number of tokens of each answer.
 const MAX_TOKENS: u64 = 64;
 
 /// Memory of each engine, in tokens.
 const MEMORY_TOKENS: u64 = 14_000;
 
-/// How a request is sent straight to an engine.
+/// How the engine of a direct request is chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Policy {
-    /// To an engine picked at random.
+    /// An engine chosen at random.
     Random,
-    /// To the engine with the least reported load.
+    /// The engine that reports the fewest held tokens.
     LeastReported,
 }
 
-/// What one way measured.
-struct Measured {
-    first: Histogram<u64>,
+/// Measurements of one way; `ttft` is in microseconds.
+struct Measurements {
+    ttft: Histogram<u64>,
     wrong: u64,
     overruns: u64,
     hit_ratio: f64,
@@ -67,54 +69,54 @@
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
     let prompts = prompts(seed);
-    let own = through_entries(&prompts).await?;
-    let random = straight(&prompts, Policy::Random, seed).await?;
-    let least = straight(&prompts, Policy::LeastReported, seed).await?;
-    Ok(Figures::from([
-        ("backend_overruns", own.overruns.into()),
+    let routed = run_through_entries(&prompts).await?;
+    let random = run_direct(&prompts, Policy::Random, seed).await?;
+    let least = run_direct(&prompts, Policy::LeastReported, seed).await?;
+    Ok(Report::from([
+        ("backend_overruns", routed.overruns.into()),
         ("random_backend_overruns", random.overruns.into()),
         ("least_reported_backend_overruns", least.overruns.into()),
-        ("answers_wrong", own.wrong.into()),
+        ("answers_wrong", routed.wrong.into()),
         ("random_answers_wrong", random.wrong.into()),
         ("least_reported_answers_wrong", least.wrong.into()),
-        ("prefix_hit_ratio", own.hit_ratio.into()),
+        ("prefix_hit_ratio", routed.hit_ratio.into()),
         ("random_prefix_hit_ratio", random.hit_ratio.into()),
         ("least_reported_prefix_hit_ratio", least.hit_ratio.into()),
         (
             "store_calls_per_request",
-            own.store_calls_per_request.into(),
+            routed.store_calls_per_request.into(),
         ),
         (
             "ttft_p50_ms",
-            milliseconds(own.first.value_at_quantile(0.5)),
+            milliseconds(routed.ttft.value_at_quantile(0.5)),
         ),
         (
             "random_ttft_p50_ms",
-            milliseconds(random.first.value_at_quantile(0.5)),
+            milliseconds(random.ttft.value_at_quantile(0.5)),
         ),
         (
             "ttft_p95_ms",
-            milliseconds(own.first.value_at_quantile(0.95)),
+            milliseconds(routed.ttft.value_at_quantile(0.95)),
         ),
         (
             "random_ttft_p95_ms",
-            milliseconds(random.first.value_at_quantile(0.95)),
+            milliseconds(random.ttft.value_at_quantile(0.95)),
         ),
         (
             "least_reported_ttft_p95_ms",
-            milliseconds(least.first.value_at_quantile(0.95)),
+            milliseconds(least.ttft.value_at_quantile(0.95)),
         ),
-        ("cross_domain_ratio", own.cross_domain_ratio.into()),
+        ("cross_domain_ratio", routed.cross_domain_ratio.into()),
         (
             "memory_use_ratio",
-            ratio(own.held_peak, MEMORY_TOKENS).into(),
+            ratio(routed.held_peak, MEMORY_TOKENS).into(),
         ),
     ]))
 }
 
-/// Returns the plan of the cluster.
+/// Returns the plan of a cluster with `entries` entries.
 fn plan(entries: usize) -> Plan {
     Plan {
         failure_domains: 3,
@@ -130,7 +132,7 @@
     }
 }
 
-/// Returns the prompts of a seed: a shared prefix and a tail of their own.
+/// Returns the prompts of a seed: each has a shared prefix and a unique tail.
 fn prompts(seed: u64) -> Vec<String> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     (0..REQUESTS)
@@ -149,11 +151,11 @@
 }
 
 /// Sends the prompts through the entries while one dies and another joins.
-async fn through_entries(prompts: &[String]) -> Result<Measured, Box<dyn Error>> {
+async fn run_through_entries(prompts: &[String]) -> Result<Measurements, Box<dyn Error>> {
     let cluster = Arc::new(Mutex::new(Cluster::start(plan(9)).await?));
     let callers = Arc::new(Mutex::new(callers(&*cluster.lock().await)));
     let done = Arc::new(AtomicUsize::new(0));
-    let disturbed = tokio::spawn(disturb(
+    let replacement = tokio::spawn(replace_entry(
         Arc::clone(&cluster),
         Arc::clone(&callers),
         Arc::clone(&done),
@@ -162,7 +164,7 @@
         .map(|(index, prompt)| {
             let (callers, done) = (Arc::clone(&callers), Arc::clone(&done));
             async move {
-                let sample = through(&callers, index, prompt).await;
+                let sample = send_with_retries(&callers, index, prompt).await;
                 done.fetch_add(1, Ordering::SeqCst);
                 sample
             }
@@ -170,8 +172,8 @@
         .buffer_unordered(CALLERS)
         .collect()
         .await;
-    disturbed.await??;
-    measured(&*cluster.lock().await, samples)
+    replacement.await??;
+    summarize(&*cluster.lock().await, samples)
 }
 
 /// Returns a caller of each entry.
@@ -183,42 +185,46 @@
 }
 
 /// Kills an entry when a third of the requests are done, and adds one when two thirds are.
-async fn disturb(
+async fn replace_entry(
     cluster: Arc<Mutex<Cluster>>,
     callers: Arc<Mutex<Vec<Caller>>>,
     done: Arc<AtomicUsize>,
 ) -> Result<(), crate::cluster::Error> {
-    reached(&done, REQUESTS / 3).await;
+    wait_for_requests(&done, REQUESTS / 3).await;
     cluster.lock().await.entries[8].kill();
     callers.lock().await.truncate(8);
-    reached(&done, 2 * REQUESTS / 3).await;
+    wait_for_requests(&done, 2 * REQUESTS / 3).await;
     let mut cluster = cluster.lock().await;
     cluster.add_entry().await?;
     let added = &cluster.entries[9];
-    let declared = || {
+    let knows_services = || {
         added.context.declarations.borrow().loaded
             && added.context.directory.borrow().iter().count() > 0
     };
-    crate::cluster::wait_until("the new entry knows the services", declared).await?;
+    crate::cluster::wait_until("the new entry knows the services", knows_services).await?;
     callers.lock().await.push(cluster.caller(9));
     Ok(())
 }
 
-/// Waits until a number of requests are done.
-async fn reached(done: &AtomicUsize, count: usize) {
+/// Waits until `count` requests are done.
+async fn wait_for_requests(done: &AtomicUsize, count: usize) {
     while done.load(Ordering::SeqCst) < count {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-/// Sends a prompt through an entry, and through others if that one dies.
-async fn through(callers: &Mutex<Vec<Caller>>, index: usize, prompt: &str) -> Option<Sample> {
+/// Sends a prompt through an entry; retries through other entries on failure.
+async fn send_with_retries(
+    callers: &Mutex<Vec<Caller>>,
+    index: usize,
+    prompt: &str,
+) -> Option<Sample> {
     for attempt in 0..3 {
         let caller = {
             let callers = callers.lock().await;
             callers[(index + attempt) % callers.len()].clone()
         };
-        if let Some(sample) = once(&caller, prompt).await {
+        if let Some(sample) = send_once(&caller, prompt).await {
             return Some(sample);
         }
     }
@@ -226,7 +232,7 @@
 }
 
 /// Sends a prompt through one entry.
-async fn once(caller: &Caller, prompt: &str) -> Option<Sample> {
+async fn send_once(caller: &Caller, prompt: &str) -> Option<Sample> {
     let completion = Completion {
         model: BRIEFS.to_owned(),
         prompt: prompt.to_owned(),
@@ -235,40 +241,40 @@
     };
     let mut clock = Stopwatch::start();
     let mut stream = caller.stream(&completion).await.ok()?;
-    let (mut text, mut whole) = (String::new(), false);
+    let (mut text, mut complete) = (String::new(), false);
     while let Some(chunk) = stream.next().await.ok()? {
-        clock.token();
+        clock.record_token();
         for choice in chunk.choices {
             text.push_str(&choice.text);
-            whole |= choice.finish_reason.is_some();
+            complete |= choice.finish_reason.is_some();
         }
     }
-    whole.then(|| clock.sample(text != oracle::answer("v1", prompt, MAX_TOKENS)))
+    complete.then(|| clock.finish(text != oracle::answer("v1", prompt, MAX_TOKENS)))
 }
 
-/// Sends the prompts straight to engines.
-async fn straight(
+/// Sends the prompts directly to engines chosen by `policy`.
+async fn run_direct(
     prompts: &[String],
     policy: Policy,
     seed: u64,
-) -> Result<Measured, Box<dyn Error>> {
+) -> Result<Measurements, Box<dyn Error>> {
     let cluster = Cluster::start(plan(1)).await?;
     let servers: Vec<Server> = cluster
         .engines
         .iter()
-        .filter_map(|engine| server(&engine.instance))
+        .filter_map(|engine| backend_server(&engine.instance))
         .collect();
     let client = Client::new();
     let samples: Vec<Option<Sample>> = futures::stream::iter(prompts.iter().enumerate())
-        .map(|(index, prompt)| direct(&client, &servers, policy, seed, index, prompt))
+        .map(|(index, prompt)| send_direct(&client, &servers, policy, seed, index, prompt))
         .buffer_unordered(CALLERS)
         .collect()
         .await;
-    measured(&cluster, samples)
+    summarize(&cluster, samples)
 }
 
-/// Sends a prompt straight to an engine.
-async fn direct(
+/// Sends a prompt directly to an engine.
+async fn send_direct(
     client: &Client,
     servers: &[Server],
     policy: Policy,
@@ -281,12 +287,12 @@
     if policy == Policy::LeastReported {
         let reports =
             futures::future::join_all(servers.iter().map(|server| client.load(server))).await;
-        let held = reports
+        let held_tokens_by_server = reports
             .iter()
             .map(|load| load.as_ref().map_or(u64::MAX, |load| load.held_tokens));
-        pick = held
+        pick = held_tokens_by_server
             .enumerate()
-            .min_by_key(|(_, held)| *held)
+            .min_by_key(|(_, tokens)| *tokens)
             .map_or(pick, |(index, _)| index);
     }
     let generate = Generate {
@@ -302,24 +308,27 @@
     let mut frames = client.generate(&servers[pick], &generate).await.ok()?;
     let mut text = String::new();
     while let Some(frame) = frames.next().await.ok()? {
-        clock.token();
+        clock.record_token();
         text.push_str(frame.token.as_deref().unwrap_or_default());
     }
-    Some(clock.sample(text != oracle::answer("v1", prompt, MAX_TOKENS)))
+    Some(clock.finish(text != oracle::answer("v1", prompt, MAX_TOKENS)))
 }
 
-/// Returns what one way measured.
-fn measured(cluster: &Cluster, samples: Vec<Option<Sample>>) -> Result<Measured, Box<dyn Error>> {
+/// Returns the measurements of one way, from its samples and the cluster's counters.
+fn summarize(
+    cluster: &Cluster,
+    samples: Vec<Option<Sample>>,
+) -> Result<Measurements, Box<dyn Error>> {
     let stats: Vec<engine::Stats> = cluster
         .engines
         .iter()
         .map(|engine| engine.engine.stats())
         .collect();
-    let mut first = Histogram::new(3)?;
+    let mut ttft = Histogram::new(3)?;
     let mut wrong = 0;
     for sample in samples {
         match sample {
-            Some(sample) if !sample.wrong => first.record(sample.first)?,
+            Some(sample) if !sample.wrong => ttft.record(sample.ttft_us)?,
             _ => wrong += 1,
         }
     }
@@ -329,8 +338,8 @@
         (near + admitted.near(), far + admitted.far())
     });
     let calls = cluster.platform.stats();
-    Ok(Measured {
-        first,
+    Ok(Measurements {
+        ttft,
         wrong,
         overruns: total(|stats| stats.overruns),
         hit_ratio: ratio(
--- a/programs/src/bench/slow_readers.rs
+++ b/programs/src/bench/slow_readers.rs
@@ -1,5 +1,5 @@
-//! Scenario `slow-readers`: what an entry holds for callers that read slowly or not at all, against
-//! holding whatever the engines give.
+//! Scenario `slow-readers`: bytes that entries buffer for callers that read slowly or not at all,
+//! compared with entries that buffer without limit; and the effect of such callers on fast ones.
 
 use std::error::Error;
 use std::fs;
@@ -12,65 +12,66 @@
 use tokio::task::JoinSet;
 use tokio::time::{self, Instant};
 
-use super::{Figures, milliseconds};
+use super::{Report, milliseconds};
 use crate::caller::{Caller, Chunk, Completion, Stream};
 use crate::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait_until};
 
-/// Readers that stop after their first token.
-const STOPPED: usize = 350;
+/// Readers that stop reading after their first token.
+const STOPPED_READERS: usize = 350;
 
-/// Readers that read slowly.
-const SLOW: usize = 150;
+/// Readers that read in bursts with pauses.
+const SLOW_READERS: usize = 150;
 
-/// Answers that fast readers ask for, alone and beside the others.
-const FAST: usize = 100;
+/// Answers that fast readers request, without slow readers and again beside them.
+const FAST_ANSWERS: usize = 100;
 
-/// Fast readers at a time.
+/// Fast readers that read concurrently.
 const FAST_CALLERS: usize = 10;
 
-/// Most tokens of an answer for stopped readers, slow ones and fast ones.
+/// Maximum number of tokens of an answer, for stopped, slow and fast readers.
 const MAX_TOKENS: [u64; 3] = [6_000, 1_600, 60];
 
 /// Tokens that a slow reader reads before it pauses.
 const SLOW_BURST: usize = 250;
 
-/// How long a slow reader pauses.
+/// Pause of a slow reader between bursts.
 const SLOW_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// Bytes that the system holds for a reader of ours that does not read.
+/// Receive buffer of a reader's connections, in bytes; a small one makes back-pressure reach the
+/// entry early.
 const RECEIVE_BUFFER: usize = 4 << 10;
 
-/// Bytes that an entry holds for one reader before back-pressure.
+/// Bytes that an entry buffers for one reader before it applies back-pressure.
 const READER_BYTES: usize = 16 << 10;
 
-/// Bytes that an entry holds for all its readers: too few for all of them.
+/// Bytes that an entry buffers for all its readers; too few for all of them.
 const ENTRY_BYTES: usize = 1 << 20;
 
-/// Bytes above anything that the answers of this scenario amount to.
+/// Limit in bytes that exceeds the total size of this scenario's answers.
 const UNBOUNDED: usize = 16 << 30;
 
-/// What one run measured.
-struct Measured {
+/// Measurements of one run; times to the first token are in microseconds.
+struct Measurements {
     held_peak: usize,
     wrong: usize,
     given_up: u64,
     parked: u64,
     engines_freed: bool,
     entries_freed: bool,
-    alone: Histogram<u64>,
-    beside: Histogram<u64>,
+    without_slow: Histogram<u64>,
+    beside_slow: Histogram<u64>,
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
-    let bounded = measure(seed, bounds, true).await?;
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
+    let bounded = measure(seed, set_limits, true).await?;
     let resident = resident_peak()?;
-    let naive = measure(seed, no_bounds, false).await?;
+    let naive = measure(seed, remove_limits, false).await?;
     let entries = Plan::default().entries;
-    let ratio = |quantile| ratio(&bounded.beside, &bounded.alone, quantile);
-    Ok(Figures::from([
-        ("readers", (STOPPED + SLOW).into()),
-        ("readers_stopped", STOPPED.into()),
+    let ratio = |quantile| quantile_ratio(&bounded.beside_slow, &bounded.without_slow, quantile);
+    Ok(Report::from([
+        ("readers", (STOPPED_READERS + SLOW_READERS).into()),
+        ("readers_stopped", STOPPED_READERS.into()),
         ("held_peak_bytes", bounded.held_peak.into()),
         ("held_bound_bytes", (entries * ENTRY_BYTES).into()),
         ("rss_peak_bytes", resident.into()),
@@ -84,30 +85,31 @@
         ("fast_reader_ttft_p50_ratio", ratio(0.5).into()),
         (
             "fast_reader_ttft_p95_ms",
-            milliseconds(bounded.beside.value_at_quantile(0.95)),
+            milliseconds(bounded.beside_slow.value_at_quantile(0.95)),
         ),
     ]))
 }
 
-/// Sets the bounds of an entry.
-fn bounds(_: usize, settings: &mut medlarfall_serving::configs::Settings) {
+/// Limits the buffers of an entry.
+fn set_limits(_: usize, settings: &mut medlarfall_serving::configs::Settings) {
     settings.generation.buffered_bytes = READER_BYTES;
     settings.generation.held_limit = ENTRY_BYTES;
     settings.callers.write_stall_timeout = Duration::from_secs(30);
 }
 
-/// Lets an entry hold whatever the engines give.
-fn no_bounds(_: usize, settings: &mut medlarfall_serving::configs::Settings) {
+/// Removes the limits on the buffers of an entry.
+fn remove_limits(_: usize, settings: &mut medlarfall_serving::configs::Settings) {
     settings.generation.buffered_bytes = UNBOUNDED;
     settings.generation.held_limit = UNBOUNDED;
 }
 
-/// Runs all readers; waits until the stopped ones have been let go of if `until_freed`.
+/// Runs all readers; with `until_freed`, waits until the engines and entries have released the
+/// resources of the stopped ones.
 async fn measure(
     seed: u64,
-    adjust: fn(usize, &mut medlarfall_serving::configs::Settings),
+    adjust_settings: fn(usize, &mut medlarfall_serving::configs::Settings),
     until_freed: bool,
-) -> Result<Measured, Box<dyn Error>> {
+) -> Result<Measurements, Box<dyn Error>> {
     let plan = Plan {
         engines: 4,
         engine: engine::Config {
@@ -115,30 +117,32 @@
             memory_tokens: 4_000_000,
             ..engine::Config::default()
         },
-        adjust_settings: adjust,
+        adjust_settings,
         ..Plan::default()
     };
     let cluster = Cluster::start(plan).await?;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let alone = fast(&cluster, &mut random).await?;
+    let without_slow = run_fast_readers(&cluster, &mut random).await?;
     let mut stopped = Vec::new();
-    for index in 0..STOPPED {
-        stopped.push(stop(reader(&cluster, index), random.random()).await?);
+    for index in 0..STOPPED_READERS {
+        stopped.push(read_first_token(reader(&cluster, index), random.random()).await?);
     }
     let mut slow = JoinSet::new();
-    for index in 0..SLOW {
+    for index in 0..SLOW_READERS {
         slow.spawn(read_slowly(reader(&cluster, index), random.random()));
     }
-    let beside = fast(&cluster, &mut random).await?;
+    let beside_slow = run_fast_readers(&cluster, &mut random).await?;
     let slow = slow.join_all().await;
     let engines_freed = until_freed && engines_freed(&cluster).await;
     let entries_freed = until_freed && entries_freed(&cluster).await;
     drop(stopped);
-    let held = cluster.entries.iter().map(|entry| &entry.context);
-    let metrics = held.clone().map(|context| &context.metrics);
-    Ok(Measured {
-        held_peak: held.map(|context| context.held.peak_bytes()).sum(),
-        wrong: slow.into_iter().filter(|right| !right).count() + alone.wrong + beside.wrong,
+    let contexts = cluster.entries.iter().map(|entry| &entry.context);
+    let metrics = contexts.clone().map(|context| &context.metrics);
+    Ok(Measurements {
+        held_peak: contexts.map(|context| context.held.peak_bytes()).sum(),
+        wrong: slow.into_iter().filter(|right| !right).count()
+            + without_slow.wrong
+            + beside_slow.wrong,
         given_up: metrics
             .clone()
             .map(|metrics| metrics.held_given_up.get())
@@ -148,12 +152,12 @@
             .sum(),
         engines_freed,
         entries_freed,
-        alone: alone.first,
-        beside: beside.first,
+        without_slow: without_slow.ttft,
+        beside_slow: beside_slow.ttft,
     })
 }
 
-/// Returns a caller that holds little of what it has not read.
+/// Returns a client with a small receive buffer.
 fn reader(cluster: &Cluster, index: usize) -> Caller {
     let entry = &cluster.entries[index % cluster.entries.len()];
     Caller::with_receive_buffer(entry.addresses.callers, CALLER_KEY, Some(RECEIVE_BUFFER))
@@ -169,24 +173,24 @@
     }
 }
 
-/// Asks for an answer, reads its first token and stops reading.
-async fn stop(caller: Caller, draw: u64) -> Result<Stream, Box<dyn Error>> {
-    let completion = completion(&format!("stopped {draw:x}"), MAX_TOKENS[0]);
+/// Requests an answer, reads its first token and stops reading.
+async fn read_first_token(caller: Caller, seed: u64) -> Result<Stream, Box<dyn Error>> {
+    let completion = completion(&format!("stopped {seed:x}"), MAX_TOKENS[0]);
     let mut stream = caller.stream(&completion).await?;
     stream.next().await?;
     Ok(stream)
 }
 
-/// Reads an answer in bursts; returns whether it is the oracle's.
-async fn read_slowly(caller: Caller, draw: u64) -> bool {
-    let prompt = format!("slow {draw:x}");
+/// Reads an answer in bursts; returns whether it equals the oracle's.
+async fn read_slowly(caller: Caller, seed: u64) -> bool {
+    let prompt = format!("slow {seed:x}");
     let Ok(mut stream) = caller.stream(&completion(&prompt, MAX_TOKENS[1])).await else {
         return false;
     };
     let mut text = String::new();
     for count in 1.. {
         match stream.next().await {
-            Ok(Some(chunk)) => text.push_str(&words(&chunk)),
+            Ok(Some(chunk)) => text.push_str(&chunk_text(&chunk)),
             Ok(None) => break,
             Err(_) => return false,
         }
@@ -197,40 +201,44 @@
     text == oracle::answer("v1", &prompt, MAX_TOKENS[1])
 }
 
-/// What fast readers measured.
-struct Fast {
-    first: Histogram<u64>,
+/// Measurements of the fast readers; times are in microseconds.
+struct FastReaders {
+    ttft: Histogram<u64>,
     wrong: usize,
 }
 
-/// Has fast readers ask for answers; returns their times to the first token, in microseconds.
-async fn fast(cluster: &Cluster, random: &mut ChaCha8Rng) -> Result<Fast, Box<dyn Error>> {
+/// Runs the fast readers; returns their times to the first token and the number of wrong answers.
+async fn run_fast_readers(
+    cluster: &Cluster,
+    random: &mut ChaCha8Rng,
+) -> Result<FastReaders, Box<dyn Error>> {
     use futures::StreamExt;
-    let asked = (0..FAST).map(|index| {
+    let requests = (0..FAST_ANSWERS).map(|index| {
         let caller = cluster.caller(index % cluster.entries.len());
         read_fast(caller, random.random())
     });
-    let asked: Vec<_> = asked.collect();
-    let read: Vec<Option<Duration>> = futures::stream::iter(asked)
+    let requests: Vec<_> = requests.collect();
+    let read: Vec<Option<Duration>> = futures::stream::iter(requests)
         .buffer_unordered(FAST_CALLERS)
         .collect()
         .await;
-    let mut fast = Fast {
-        first: Histogram::new(3)?,
+    let mut fast = FastReaders {
+        ttft: Histogram::new(3)?,
         wrong: 0,
     };
     for first in read {
         match first {
-            Some(first) => fast.first.record(u64::try_from(first.as_micros())?)?,
+            Some(first) => fast.ttft.record(u64::try_from(first.as_micros())?)?,
             None => fast.wrong += 1,
         }
     }
     Ok(fast)
 }
 
-/// Reads an answer as it comes; returns the time to the first token if it is the oracle's.
-async fn read_fast(caller: Caller, draw: u64) -> Option<Duration> {
-    let prompt = format!("fast {draw:x}");
+/// Reads an answer without pauses; returns the time to the first token if the answer equals the
+/// oracle's.
+async fn read_fast(caller: Caller, seed: u64) -> Option<Duration> {
+    let prompt = format!("fast {seed:x}");
     let started = Instant::now();
     let mut stream = caller
         .stream(&completion(&prompt, MAX_TOKENS[2]))
@@ -239,12 +247,12 @@
     let chunk = stream.next().await.ok()??;
     let first = started.elapsed();
     let (rest, _) = stream.text().await.ok()?;
-    let text = words(&chunk) + &rest;
+    let text = chunk_text(&chunk) + &rest;
     (text == oracle::answer("v1", &prompt, MAX_TOKENS[2])).then_some(first)
 }
 
 /// Returns the text of a chunk.
-fn words(chunk: &Chunk) -> String {
+fn chunk_text(chunk: &Chunk) -> String {
     chunk
         .choices
         .iter()
@@ -252,37 +260,44 @@
         .collect()
 }
 
-/// Returns whether the engines come to hold no generation while the stopped readers stay.
+/// Waits until no engine runs a generation, while the stopped readers stay connected; returns
+/// whether this happened in time.
 async fn engines_freed(cluster: &Cluster) -> bool {
     let free = || {
         let mut engines = cluster.engines.iter();
-        engines.all(|held| held.engine.stats().live == 0)
+        engines.all(|engine| engine.engine.stats().live == 0)
     };
-    wait_until("the engines are free", free).await.is_ok()
+    wait_until("the engines run no generation", free)
+        .await
+        .is_ok()
 }
 
-/// Returns whether the entries come to hold nothing, once stopped readers are cut off.
+/// Waits until the entries have disconnected the stopped readers and buffer nothing; returns
+/// whether this happened in time.
 async fn entries_freed(cluster: &Cluster) -> bool {
     let free = || {
         let mut entries = cluster.entries.iter();
         entries.all(|entry| entry.context.held.buffered_bytes() == 0)
     };
-    wait_until("the entries hold nothing", free).await.is_ok()
+    wait_until("the entries buffer nothing", free).await.is_ok()
 }
 
-/// Returns how a quantile compares with another's.
-fn ratio(above: &Histogram<u64>, below: &Histogram<u64>, quantile: f64) -> f64 {
+/// Returns the ratio of a quantile of two histograms, rounded to three decimals.
+fn quantile_ratio(numerator: &Histogram<u64>, denominator: &Histogram<u64>, quantile: f64) -> f64 {
     let value = |histogram: &Histogram<u64>| {
         let value = histogram.value_at_quantile(quantile).max(1);
         u32::try_from(value).map_or(f64::MAX, f64::from)
     };
-    (value(above) / value(below) * 1_000.0).round() / 1_000.0
+    (value(numerator) / value(denominator) * 1_000.0).round() / 1_000.0
 }
 
-/// Returns the most memory that this process ever held, in bytes.
+/// Returns the peak resident set size of this process, in bytes.
 fn resident_peak() -> Result<u64, Box<dyn Error>> {
     let status = fs::read_to_string("/proc/self/status")?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let kibibytes = line.and_then(|line| line.split_whitespace().next());
-    Ok(kibibytes.ok_or("no VmHWM")?.parse::<u64>()? * 1_024)
+    Ok(kibibytes
+        .ok_or("/proc/self/status has no line `VmHWM`")?
+        .parse::<u64>()?
+        * 1_024)
 }
--- a/programs/src/bench/stops.rs
+++ b/programs/src/bench/stops.rs
@@ -1,4 +1,5 @@
-//! Scenario `stops`: planned stops of engines under long generations.
+//! Scenario `stops`: planned stops of engines while they run long generations. Counts the requests
+//! that fail and the stops that finish by their date.
 
 use std::error::Error;
 use std::sync::Arc;
@@ -13,63 +14,63 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use super::Figures;
+use super::Report;
 use crate::caller::Completion;
 use crate::cluster::{BRIEFS, Cluster, Plan};
 
 /// Planned stops, one after the other.
 const STOPS: usize = 5;
 
-/// Callers that ask for one generation after the other.
+/// Callers that request one generation after another.
 const CALLERS: usize = 24;
 
 /// Time between a stop's acceptance and its date.
 const NOTICE: Duration = Duration::from_secs(9);
 
-/// Time before the date at which the last generations are moved.
+/// Time before the date at which the remaining generations are moved to other engines.
 const LEAD: Duration = Duration::from_secs(4);
 
-/// Pause between two looks at the requests that a leaving engine took.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which the request counter of a leaving engine is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What the callers saw.
+/// Counts of the callers' answers: complete and correct, failed or incomplete, and wrong.
 #[derive(Clone, Copy, Debug, Default)]
 struct Answers {
-    whole: u64,
-    cut: u64,
+    complete: u64,
+    incomplete: u64,
     wrong: u64,
 }
 
 /// Runs the scenario.
-pub(super) async fn run(seed: u64) -> Result<Figures, Box<dyn Error>> {
+pub(super) async fn run(seed: u64) -> Result<Report, Box<dyn Error>> {
     let mut cluster = Cluster::start(Plan {
         engines: 4,
         adjust_settings: |_, settings| settings.stops.policy.lead = LEAD,
         ..Plan::default()
     })
     .await?;
-    let over = CancellationToken::new();
+    let finished = CancellationToken::new();
     let mut callers = JoinSet::new();
     for index in 0..CALLERS {
         let caller = cluster.caller(index % cluster.entries.len());
         let random = ChaCha8Rng::seed_from_u64(seed.wrapping_mul(1_000) + index as u64);
-        callers.spawn(ask(caller, random, over.clone()));
+        callers.spawn(run_caller(caller, random, finished.clone()));
     }
     let mut finished_by_date: u64 = 0;
     let mut late_work = Duration::ZERO;
     for index in 0..STOPS {
-        // Each stop takes the oldest engine; a new one takes its place first.
+        // Each stop concerns the oldest engine; its replacement starts first.
         cluster.add_engine(engine::Config::default()).await?;
-        let (in_time, late) = stop(&cluster, index).await?;
+        let (in_time, late) = run_stop(&cluster, index).await?;
         finished_by_date += u64::from(in_time);
         late_work = late_work.max(late);
     }
-    over.cancel();
+    finished.cancel();
     let mut sum = Answers::default();
     while let Some(answers) = callers.join_next().await {
         let answers = answers?;
-        sum.whole += answers.whole;
-        sum.cut += answers.cut;
+        sum.complete += answers.complete;
+        sum.incomplete += answers.incomplete;
         sum.wrong += answers.wrong;
     }
     let metrics = cluster.entries.iter().map(|entry| &entry.context.metrics);
@@ -79,11 +80,11 @@
             lost + metrics.attempts_lost.get(),
         )
     });
-    Ok(Figures::from([
+    Ok(Report::from([
         ("stops", (STOPS as u64).into()),
-        ("answers_whole", sum.whole.into()),
+        ("answers_whole", sum.complete.into()),
         ("answers_wrong", sum.wrong.into()),
-        ("requests_cut", sum.cut.into()),
+        ("requests_cut", sum.incomplete.into()),
         ("attempts_lost", lost.into()),
         ("moved_generations", moved.into()),
         (
@@ -94,14 +95,14 @@
     ]))
 }
 
-/// Asks for one generation after the other until the scenario is over.
-async fn ask(
+/// Requests one generation after another until the scenario is over.
+async fn run_caller(
     caller: crate::caller::Caller,
     mut random: ChaCha8Rng,
-    over: CancellationToken,
+    finished: CancellationToken,
 ) -> Answers {
     let mut answers = Answers::default();
-    while !over.is_cancelled() {
+    while !finished.is_cancelled() {
         let prompt = format!("ledger {:x}", random.random::<u64>());
         let max_tokens = random.random_range(20..1_200);
         let completion = Completion {
@@ -116,18 +117,18 @@
         };
         match answer {
             Some((text, true)) if text == oracle::answer("v1", &prompt, max_tokens) => {
-                answers.whole += 1;
+                answers.complete += 1;
             }
             Some((_, true)) => answers.wrong += 1,
-            Some((_, false)) | None => answers.cut += 1,
+            Some((_, false)) | None => answers.incomplete += 1,
         }
     }
     answers
 }
 
-/// Stops one engine; returns whether it had finished by its date, and how long after the acceptance
-/// the engine last took new work. At its date the engine dies.
-async fn stop(cluster: &Cluster, index: usize) -> Result<(bool, Duration), Box<dyn Error>> {
+/// Plans a stop of one engine, which dies at the stop's date. Returns whether the stop had finished
+/// by then, and how long after the acceptance of the stop the engine last received a request.
+async fn run_stop(cluster: &Cluster, index: usize) -> Result<(bool, Duration), Box<dyn Error>> {
     let target = format!("server/engine-{index}");
     let mut operator = cluster.operator(index % cluster.entries.len())?;
     let notice = u64::try_from(NOTICE.as_millis())?;
@@ -158,12 +159,12 @@
     Ok((matches!(in_time, Ok(Some(()))), late.await?))
 }
 
-/// Returns how long after the acceptance an engine last took new work before its date.
+/// Returns how long after the acceptance of its stop an engine last received a request.
 async fn watch_late_work(engine: Arc<engine::Engine>, accepted: Instant) -> Duration {
     let mut requests = engine.stats().requests;
     let mut last = Duration::ZERO;
     while accepted.elapsed() < NOTICE {
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         let now = engine.stats().requests;
         if now > requests {
             last = accepted.elapsed();
--- a/programs/src/bench/stopwatch.rs
+++ b/programs/src/bench/stopwatch.rs
@@ -1,19 +1,19 @@
-//! Measures the times of generations.
+//! Measures the token latencies of generations.
 
 use std::time::{Duration, Instant};
 
-/// What one generation measured.
+/// Measurements of one generation.
 #[derive(Default)]
 pub(super) struct Sample {
     /// Time to the first token, in microseconds.
-    pub(super) first: u64,
-    /// Times between two tokens, in microseconds.
-    pub(super) between: Vec<u64>,
+    pub(super) ttft_us: u64,
+    /// Times between successive tokens, in microseconds.
+    pub(super) gaps_us: Vec<u64>,
     /// Whether the answer differs from the oracle's.
     pub(super) wrong: bool,
 }
 
-/// Measures the times of one generation's tokens.
+/// Measures the arrival times of one generation's tokens.
 pub(super) struct Stopwatch {
     started: Instant,
     last: Option<Instant>,
@@ -21,7 +21,7 @@
 }
 
 impl Stopwatch {
-    /// Starts measuring.
+    /// Starts the measurement at the time of the request.
     pub(super) fn start() -> Self {
         Self {
             started: Instant::now(),
@@ -30,17 +30,17 @@
         }
     }
 
-    /// Notes a token.
-    pub(super) fn token(&mut self) {
+    /// Records the arrival of a token.
+    pub(super) fn record_token(&mut self) {
         let now = Instant::now();
         match self.last.replace(now) {
-            None => self.sample.first = microseconds(now - self.started),
-            Some(last) => self.sample.between.push(microseconds(now - last)),
+            None => self.sample.ttft_us = microseconds(now - self.started),
+            Some(last) => self.sample.gaps_us.push(microseconds(now - last)),
         }
     }
 
-    /// Returns what was measured.
-    pub(super) fn sample(mut self, wrong: bool) -> Sample {
+    /// Returns the measurements; `wrong` states that the answer differs from the oracle's.
+    pub(super) fn finish(mut self, wrong: bool) -> Sample {
         self.sample.wrong = wrong;
         self.sample
     }
