--- a/programs/src/bench/membership.rs
+++ b/programs/src/bench/membership.rs
@@ -146,7 +146,7 @@
     Ok(started.elapsed())
 }
 
-/// Returns the number of peers that an entry considers alive.
+/// Returns the number of peers that an entry considers live.
 fn live_peers(entry: &Entry) -> usize {
     entry.context.membership.view().borrow().neighbours.len()
 }
--- a/programs/src/main.rs
+++ b/programs/src/main.rs
@@ -92,7 +92,7 @@
                     /// Revision of the stop to change; 0, the default, for a new stop.
                     optional --revision revision: u64
                 }
-                /// Prints the requests that still hold a stop, until it has finished.
+                /// Prints the requests that must still end before a stop, until it has finished.
                 cmd stop-watch watch {
                     /// Operators' address of an entry.
                     required --entry entry: SocketAddr
