--- a/programs/tests/configuration.rs
+++ b/programs/tests/configuration.rs
@@ -15,7 +15,7 @@
         ..Plan::default()
     };
     let cluster = Cluster::start(plan).await.expect("the cluster is up");
-    cluster::wait("the entries know each other", || {
+    cluster::wait_until("the entries know each other", || {
         cluster.entries.iter().all(|entry| {
             let membership = entry.context.membership.view().borrow().clone();
             membership.neighbours.len() + 1 >= entries / 2 && !membership.contacts.is_empty()
@@ -48,7 +48,7 @@
         ..ApplyRequest::default()
     };
     let mut operator = cluster.operator(entry).expect("an operator client");
-    operator.change(request).await
+    operator.apply_request(request).await
 }
 
 /// Returns the revision of the plain service that is in force at an entry, or 0.
@@ -59,7 +59,7 @@
 
 /// Waits until a revision of the plain service, or a later one, is in force at every entry.
 async fn wait_for_revision(cluster: &Cluster, expected: u64) {
-    cluster::wait("the revision is in force everywhere", || {
+    cluster::wait_until("the revision is in force everywhere", || {
         (0..cluster.entries.len()).all(|entry| declared_revision(cluster, entry) >= expected)
     })
     .await
@@ -161,7 +161,7 @@
     cluster.add_entry().await.expect("an entry starts");
     wait_for_revision(&cluster, 2).await;
     let added = &cluster.entries[4].context;
-    cluster::wait("the entry is ready and knows the backend servers", || {
+    cluster::wait_until("the entry is ready and knows the backend servers", || {
         added.declarations.borrow().loaded && added.directory.borrow().iter().count() > 1
     })
     .await
@@ -188,7 +188,7 @@
 
 /// Waits until the only entry has read the store, and checks that it is ready.
 async fn wait_for_recovery(cluster: &Cluster) {
-    cluster::wait("the entry has read the store", || {
+    cluster::wait_until("the entry has read the store", || {
         declared_revision(cluster, 0) == 1
     })
     .await
--- a/programs/tests/moves.rs
+++ b/programs/tests/moves.rs
@@ -40,7 +40,7 @@
             token_interval: Duration::from_millis(4),
             ..engine::Config::default()
         },
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     let mut cluster = Cluster::start(plan.clone()).await.expect("a cluster");
@@ -56,7 +56,7 @@
         };
         cluster.add_service(service).await.expect("a service");
     }
-    cluster::wait("every entry knows the new version", || {
+    cluster::wait_until("every entry knows the new version", || {
         let known = |entry: &medlarfall_serving::entry::Entry| {
             entry.context.directory.borrow().iter().count() == 7
         };
@@ -110,7 +110,7 @@
                     max_tokens: 24,
                     stream: false,
                 };
-                let answer = caller.whole(&completion).await;
+                let answer = caller.generate(&completion).await;
                 let expected = ["v1", "v2"].map(|version| oracle::answer(version, &prompt, 24));
                 if !answer.is_ok_and(|answer| expected.contains(&answer)) {
                     wrong.fetch_add(1, Ordering::Relaxed);
@@ -152,7 +152,7 @@
 
 /// Waits until the declaration in force at every entry names a version.
 async fn wait_for_version(cluster: &Cluster, service: &str, version: &str) {
-    cluster::wait("every entry has the version declared", || {
+    cluster::wait_until("every entry has the version declared", || {
         cluster.entries.iter().all(|entry| {
             let declarations = entry.context.declarations.borrow().clone();
             declarations
@@ -346,7 +346,7 @@
         move || cluster.entries.iter().all(|entry| in_phase(entry, wanted))
     };
     let moving = known(|phase| *phase == MovePhase::Stage);
-    cluster::wait("every entry knows the stage of the move", moving)
+    cluster::wait_until("every entry knows the stage of the move", moving)
         .await
         .expect("every entry knows the stage of the move");
     cluster.platform.set_faults(platform::Faults {
@@ -360,7 +360,7 @@
         });
     }
     let braked = known(|phase| *phase == MovePhase::Braked);
-    cluster::wait("every entry has braked", braked)
+    cluster::wait_until("every entry has braked", braked)
         .await
         .expect("the move is braked");
     for entry in &cluster.entries {
@@ -387,7 +387,7 @@
 #[tokio::test]
 async fn a_brake_reaches_an_entry_without_requests_while_the_platform_is_down() {
     let cluster = start_cluster().await;
-    cluster::wait("the entries know each other", || {
+    cluster::wait_until("the entries know each other", || {
         let knows = |entry: &medlarfall_serving::entry::Entry| {
             entry.context.membership.view().borrow().up().count() == 1
         };
@@ -400,7 +400,7 @@
         .start_move(TRACKER, "v2", deadline_ms(Duration::from_mins(2)))
         .await
         .expect("the move is accepted");
-    cluster::wait("every entry knows the stage of the move", || {
+    cluster::wait_until("every entry knows the stage of the move", || {
         let moving = |phase: &MovePhase| *phase == MovePhase::Stage;
         cluster.entries.iter().all(|entry| in_phase(entry, moving))
     })
@@ -417,7 +417,7 @@
         });
     }
     let load = call_service_at(&cluster, 1);
-    cluster::wait("the entry without requests has braked", || {
+    cluster::wait_until("the entry without requests has braked", || {
         in_phase(&cluster.entries[1], |phase| *phase == MovePhase::Braked)
     })
     .await
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -31,7 +31,7 @@
         engines: 1,
         entries: 1,
         engine,
-        adjust: |_, settings| settings.orders.policy.order_timeout = ORDER_TIMEOUT,
+        adjust_settings: |_, settings| settings.orders.policy.order_timeout = ORDER_TIMEOUT,
         ..Plan::default()
     })
     .await
@@ -243,7 +243,7 @@
         .apply(declared)
         .await
         .expect("the declaration is accepted");
-    medlarfall::cluster::wait("the declaration is in force", || {
+    medlarfall::cluster::wait_until("the declaration is in force", || {
         context.enforces_fencing(&server)
     })
     .await
--- a/programs/tests/peers.rs
+++ b/programs/tests/peers.rs
@@ -82,7 +82,7 @@
     };
     assert!(identity().await.is_ok());
     cluster.entries[1].kill();
-    medlarfall::cluster::wait("the peer's port is closed", || {
+    medlarfall::cluster::wait_until("the peer's port is closed", || {
         std::net::TcpStream::connect(address).is_err()
     })
     .await
--- a/programs/tests/plain_services.rs
+++ b/programs/tests/plain_services.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hyper::Method;
-use medlarfall::cluster::{CALLER_KEY, Cluster, Plan, wait};
+use medlarfall::cluster::{CALLER_KEY, Cluster, Plan, wait_until};
 use medlarfall_serving::configs::Settings;
 use medlarfall_standin::service;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -28,7 +28,7 @@
     let plan = Plan {
         entries: 1,
         engines: 0,
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     Cluster::start(plan).await.expect("the cluster is up")
@@ -67,7 +67,7 @@
     });
     let address = cluster.entries[0].addresses.callers;
     let mut unread = send_partial_request(address, 4, "held").await;
-    wait("the answer is buffered", || {
+    wait_until("the answer is buffered", || {
         budget.reserved() >= ANSWER_BYTES
     })
     .await
@@ -75,7 +75,7 @@
     let refused = run_action(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
     assert!(!cluster.services[0].service.runs().contains_key("no room"));
-    wait("the memory is released", || budget.reserved() == 0)
+    wait_until("the memory is released", || budget.reserved() == 0)
         .await
         .expect("the memory is released");
     assert_eq!(run_action(&cluster, "room").await, (200, "ran".to_owned()));
@@ -98,7 +98,7 @@
     for index in 0..8 {
         let ran = run_action(&cluster, &format!("large {index}")).await;
         assert_eq!(ran, (200, "ran".to_owned()));
-        wait("the memory is released", || budget.reserved() == 0)
+        wait_until("the memory is released", || budget.reserved() == 0)
             .await
             .expect("the memory is released");
     }
@@ -110,14 +110,14 @@
     let budget = &cluster.entries[0].context.calls.budget;
     let address = cluster.entries[0].addresses.callers;
     let mut stalled = send_partial_request(address, ANSWER_BYTES, "only the start").await;
-    wait("memory is reserved for the body", || {
+    wait_until("memory is reserved for the body", || {
         budget.reserved() >= ANSWER_BYTES
     })
     .await
     .expect("the memory is reserved");
     let refused = run_action(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
-    wait("the memory is released", || budget.reserved() == 0)
+    wait_until("the memory is released", || budget.reserved() == 0)
         .await
         .expect("the memory is released");
     assert_eq!(run_action(&cluster, "room").await, (200, "ran".to_owned()));
@@ -190,7 +190,7 @@
         ("medlarfall-timeout-ms", "900"),
     ];
     let caller = cluster.caller(0);
-    let call = caller.call_with(Method::POST, "/s/tracker/plots/7", "traced", &headers);
+    let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "traced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
     let passed_on = cluster.services[0].service.passed_on("traced");
     let passed_on = passed_on.expect("the service was called");
@@ -204,7 +204,7 @@
     let cluster = cluster().await;
     let headers = [("traceparent", "00-nonsense")];
     let caller = cluster.caller(0);
-    let call = caller.call_with(Method::POST, "/s/tracker/plots/7", "untraced", &headers);
+    let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "untraced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
     let passed_on = cluster.services[0].service.passed_on("untraced");
     let passed_on = passed_on.expect("the service was called");
--- a/programs/tests/processes.rs
+++ b/programs/tests/processes.rs
@@ -217,7 +217,7 @@
         let streamed = stream.text().await.expect("the whole stream");
         assert_eq!(streamed, (expected.clone(), true));
         let whole = caller
-            .whole(&completion(&prompt, 60))
+            .generate(&completion(&prompt, 60))
             .await
             .expect("a whole answer");
         assert_eq!(whole, expected);
@@ -286,7 +286,11 @@
     let status = Command::new("kill").args(["-TERM", &pid]).status();
     assert!(status.expect("`kill` runs").success());
     let refused = loop {
-        match deployment.caller(0).whole(&completion("too late", 5)).await {
+        match deployment
+            .caller(0)
+            .generate(&completion("too late", 5))
+            .await
+        {
             Ok(_) => tokio::time::sleep(Duration::from_millis(20)).await,
             Err(error) => break error.to_string(),
         }
--- a/programs/tests/slow_readers.rs
+++ b/programs/tests/slow_readers.rs
@@ -2,7 +2,7 @@
 //! of the entry stay bounded, and no token is lost.
 
 use medlarfall::caller::{Caller, Completion, Stream};
-use medlarfall::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait};
+use medlarfall::cluster::{BRIEFS, CALLER_KEY, Cluster, Plan, wait_until};
 use medlarfall_serving::configs::Settings;
 use medlarfall_standin::{engine, oracle};
 
@@ -31,7 +31,7 @@
             token_interval: std::time::Duration::from_millis(1),
             ..engine::Config::default()
         },
-        adjust,
+        adjust_settings: adjust,
         ..Plan::default()
     };
     Cluster::start(plan).await.expect("the cluster is up")
@@ -75,7 +75,7 @@
 /// Waits until no engine runs a generation and at least `parked` generations have been parked.
 async fn wait_until_parked(cluster: &Cluster, parked: u64) {
     let metrics = &cluster.entries[0].context.metrics;
-    wait("the engines are free", || {
+    wait_until("the engines are free", || {
         let mut engines = cluster.engines.iter();
         let free = engines.all(|running| running.engine.stats().live == 0);
         free && metrics.generations_parked.get() >= parked
@@ -92,7 +92,7 @@
     let limiter = &cluster.entries[0].context.held;
     assert!(limiter.peak_bytes() < 2 * READER_BYTES);
     expect_oracle_answer(stream, 0).await;
-    wait("the entry buffers nothing", || {
+    wait_until("the entry buffers nothing", || {
         limiter.buffered_bytes() == 0
     })
     .await
