--- a/programs/src/bench/at_most_once.rs
+++ b/programs/src/bench/at_most_once.rs
@@ -258,7 +258,7 @@
     let ran: BTreeSet<String> = cluster
         .services
         .iter()
-        .flat_map(|plain| plain.service.ran())
+        .flat_map(|plain| plain.service.executed_requests())
         .collect();
     for told in told {
         let runs = runs(cluster, &told.name);
@@ -280,7 +280,7 @@
     cluster
         .services
         .iter()
-        .filter_map(|plain| plain.service.runs().get(name).copied())
+        .filter_map(|plain| plain.service.run_counts().get(name).copied())
         .sum()
 }
 
--- a/programs/src/bench/moves.rs
+++ b/programs/src/bench/moves.rs
@@ -177,7 +177,7 @@
     if case.dies
         && let Some(plain) = cluster.services.last()
     {
-        plain.service.life().die();
+        plain.service.lifecycle().crash();
     }
     let (verdict, sight) = tokio::join!(
         watch(&cluster, service, &started.move_id),
--- a/programs/src/bench/resume/faults.rs
+++ b/programs/src/bench/resume/faults.rs
@@ -118,7 +118,7 @@
         let held = &self.cluster.engines[index];
         let server = Arc::from(held.instance.name.as_str());
         let at = Instant::now();
-        held.engine.life().die();
+        held.engine.lifecycle().crash();
         self.faults.push(Fault::Engine { at, server });
         let mut gone = held.instance.clone();
         gone.leaving = true;
@@ -145,7 +145,7 @@
         let held = &self.cluster.engines[index];
         let server = Arc::from(held.instance.name.as_str());
         let at = Instant::now();
-        held.engine.life().pause(PAUSE);
+        held.engine.lifecycle().pause(PAUSE);
         self.paused[index] = Some(at);
         self.faults.push(Fault::Engine { at, server });
     }
@@ -166,7 +166,11 @@
     fn engine(&mut self) -> Option<usize> {
         let free = |index: &usize| {
             let paused = self.paused[*index].is_some_and(|since| since.elapsed() < 2 * PAUSE);
-            !paused && !self.cluster.engines[*index].engine.life().dead()
+            !paused
+                && !self.cluster.engines[*index]
+                    .engine
+                    .lifecycle()
+                    .has_crashed()
         };
         let candidates: Vec<usize> = (0..self.paused.len()).filter(free).collect();
         let last = candidates.len().checked_sub(1)?;
@@ -182,7 +186,7 @@
             .cluster
             .engines
             .iter()
-            .filter(|held| !held.engine.life().dead())
+            .filter(|held| !held.engine.lifecycle().has_crashed())
             .filter_map(|held| serde_json::to_value(&held.instance).ok())
             .filter_map(|json| serde_json::from_value::<Instance>(json).ok())
             .filter_map(|instance| Server::try_from(instance).ok());
--- a/programs/src/bench/stops.rs
+++ b/programs/src/bench/stops.rs
@@ -154,7 +154,7 @@
     let in_time = tokio::time::timeout(NOTICE, finished).await;
     let date = tokio::time::Instant::from_std(accepted + NOTICE);
     tokio::time::sleep_until(date).await;
-    leaving.life().die();
+    leaving.lifecycle().crash();
     Ok((matches!(in_time, Ok(Some(()))), late.await?))
 }
 
--- a/programs/src/bin/medlarfall-standin.rs
+++ b/programs/src/bin/medlarfall-standin.rs
@@ -7,7 +7,7 @@
 use http_body_util::Full;
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
-use medlarfall_standin::faults::Death;
+use medlarfall_standin::faults::CrashScope;
 use medlarfall_standin::http::Server;
 use medlarfall_standin::platform::Instance;
 use medlarfall_standin::{engine, oracle, platform, service};
@@ -107,7 +107,7 @@
 /// Runs a platform until the process ends.
 async fn run_platform(flags: flags::Platform) -> Result<(), String> {
     let mut config = platform::Config {
-        death: Death::Process,
+        crash_scope: CrashScope::Process,
         ..platform::Config::default()
     };
     config.listen = flags.listen.unwrap_or(config.listen);
@@ -125,7 +125,7 @@
 /// Runs an engine until the process ends.
 async fn run_engine(flags: flags::Engine) -> Result<(), String> {
     let mut config = engine::Config {
-        death: Death::Process,
+        crash_scope: CrashScope::Process,
         fencing: !flags.ignore_fencing,
         ..engine::Config::default()
     };
@@ -159,7 +159,7 @@
 /// Runs a service until the process ends.
 async fn run_service(flags: flags::Service) -> Result<(), String> {
     let mut config = service::Config {
-        death: Death::Process,
+        crash_scope: CrashScope::Process,
         ..service::Config::default()
     };
     config.listen = flags.listen.unwrap_or(config.listen);
--- a/programs/src/demo.rs
+++ b/programs/src/demo.rs
@@ -66,7 +66,7 @@
     let killed = cluster
         .engines
         .iter()
-        .filter(|engine| engine.engine.life().dead())
+        .filter(|engine| engine.engine.lifecycle().has_crashed())
         .count();
     println!(
         "generation: {} in {} ms; engines killed on the way: {killed}; longest pause between tokens: {} ms",
@@ -99,7 +99,7 @@
             action,
         )
         .await?;
-    let runs = cluster.services[0].service.runs();
+    let runs = cluster.services[0].service.run_counts();
     println!("non-idempotent call: {} {}", assigned.status, assigned.body);
     if runs.get(action) != Some(&1) {
         return Err("the non-idempotent call did not run exactly once".into());
--- a/programs/tests/generations.rs
+++ b/programs/tests/generations.rs
@@ -79,7 +79,7 @@
     let cluster = cluster(impatient).await;
     let mut answer = ask(&cluster, "none");
     read(&mut answer, BEFORE).await;
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let error = answer.finish().await.expect_err("an error");
     let Error::Refused { body, .. } = error else {
         panic!("a typed error expected: {error}");
@@ -95,7 +95,7 @@
     let mut cluster = cluster(|_, _| {}).await;
     let mut answer = ask(&cluster, "waits");
     read(&mut answer, BEFORE).await;
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let added = cluster.add_engine(Config::default()).await;
     added.expect("another engine");
     let text = answer.finish().await.expect("the whole answer");
@@ -122,7 +122,7 @@
         .iter()
         .find(|held| held.engine.stats().live > 0);
     let engine = &held.expect("an engine that serves").engine;
-    engine.life().pause(Duration::from_secs(3));
+    engine.lifecycle().pause(Duration::from_secs(3));
     let text = answer.finish().await.expect("the whole answer");
     assert_eq!(text, oracle::answer("v1", "paused", MAX_TOKENS));
     wait("the paused engine is free", || engine.stats().live == 0)
@@ -132,7 +132,7 @@
 
 /// Kills the only engine of `v1`, starts one of `v2` and declares `v2`.
 async fn change_version(cluster: &mut Cluster) {
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let v2 = Config {
         version: "v2".to_owned(),
         ..Config::default()
@@ -160,7 +160,7 @@
 #[tokio::test]
 async fn a_generation_without_tokens_takes_the_new_version() {
     let mut cluster = cluster(|_, _| {}).await;
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let mut answer = ask(&cluster, "new version");
     let asking = tokio::spawn(async move {
         let text = answer.finish().await;
--- a/programs/tests/moves.rs
+++ b/programs/tests/moves.rs
@@ -423,7 +423,7 @@
         .start_move(TRACKER, "v2", deadline_ms(WITHIN))
         .await
         .expect("the move is accepted");
-    cluster.services[1].service.life().die();
+    cluster.services[1].service.lifecycle().crash();
     let seen = watch(&cluster, TRACKER, &started.move_id).await;
     assert_eq!(last(&seen).phase(), MovePhase::Done, "{seen:?}");
     drop(load);
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -197,7 +197,7 @@
     let way = way(&cluster);
     cluster.engines[0]
         .engine
-        .life()
+        .lifecycle()
         .pause(Duration::from_mins(1));
     let given = orders::give(&way, &server, &drain(true), true, PATIENCE).await;
     let message = given.expect_err("it does not answer").to_string();
--- a/programs/tests/plain_services.rs
+++ b/programs/tests/plain_services.rs
@@ -68,7 +68,12 @@
         .expect("it is held");
     let refused = act(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
-    assert!(!cluster.services[0].service.runs().contains_key("no room"));
+    assert!(
+        !cluster.services[0]
+            .service
+            .run_counts()
+            .contains_key("no room")
+    );
     wait("the room is given back", || budget.reserved() == 0)
         .await
         .expect("it is given back");
@@ -112,7 +117,7 @@
     assert_eq!(act(&cluster, "room").await, (200, "ran".to_owned()));
     let mut answer = Vec::new();
     let _ = stalled.read_to_end(&mut answer).await;
-    let runs = cluster.services[0].service.runs();
+    let runs = cluster.services[0].service.run_counts();
     assert_eq!(runs.keys().collect::<Vec<_>>(), ["room"]);
 }
 
@@ -128,7 +133,7 @@
         ..service::Faults::default()
     });
     assert_eq!(act(&cluster, "again").await, (200, "ran".to_owned()));
-    assert_eq!(service.runs()["again"], 1);
+    assert_eq!(service.run_counts()["again"], 1);
 }
 
 #[tokio::test]
@@ -145,10 +150,10 @@
         .call(Method::PUT, "/s/tracker/records/7", "put")
         .await;
     assert_eq!(reply.expect("a reply").run, "ran");
-    assert_eq!(service.runs()["put"], 2);
+    assert_eq!(service.run_counts()["put"], 2);
     service.set_faults(lost);
     assert_eq!(act(&cluster, "post").await, (502, "unknown".to_owned()));
-    assert_eq!(service.runs()["post"], 1);
+    assert_eq!(service.run_counts()["post"], 1);
 }
 
 #[tokio::test]
@@ -178,7 +183,7 @@
     let caller = cluster.caller(0);
     let call = caller.call_with(Method::POST, "/s/tracker/plots/7", "traced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
-    let passed_on = cluster.services[0].service.passed_on("traced");
+    let passed_on = cluster.services[0].service.forwarded_headers("traced");
     let passed_on = passed_on.expect("it was called");
     assert_eq!(passed_on.traceparent.split('-').nth(1), Some(trace));
     let timeout_ms: u64 = passed_on.timeout_ms.parse().expect("milliseconds");
@@ -192,7 +197,7 @@
     let caller = cluster.caller(0);
     let call = caller.call_with(Method::POST, "/s/tracker/plots/7", "untraced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
-    let passed_on = cluster.services[0].service.passed_on("untraced");
+    let passed_on = cluster.services[0].service.forwarded_headers("untraced");
     let passed_on = passed_on.expect("it was called");
     assert!(!passed_on.traceparent.contains("nonsense"));
 }
--- a/programs/tests/stops.rs
+++ b/programs/tests/stops.rs
@@ -218,7 +218,7 @@
     }
     assert_eq!(finished, 1);
     assert!(most > 0, "the operator saw what held the engine");
-    leaving.life().die();
+    leaving.lifecycle().crash();
     assert_eq!(wrong(generations).await, 0);
     let metrics = || cluster.entries.iter().map(|entry| &entry.context.metrics);
     let lost: u64 = metrics().map(|metrics| metrics.attempts_lost.get()).sum();
@@ -328,7 +328,7 @@
     })
     .await
     .expect("the engine is left");
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     assert_eq!(wrong(generations).await, 0);
 }
 
--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -12,8 +12,8 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-use crate::faults::{Death, Life};
-use crate::http::{self, Body, Cut, Server};
+use crate::faults::{CrashScope, Lifecycle};
+use crate::http::{self, Abort, Body, Server};
 use crate::oracle;
 
 mod batch;
@@ -100,7 +100,7 @@
     /// Time that an order to load takes.
     pub load_time: Duration,
     /// What death means.
-    pub death: Death,
+    pub crash_scope: CrashScope,
 }
 
 impl Default for Config {
@@ -118,7 +118,7 @@
             orphan_grace: Duration::from_secs(2),
             fencing: true,
             load_time: Duration::from_millis(200),
-            death: Death::Tasks,
+            crash_scope: CrashScope::Tasks,
         }
     }
 }
@@ -140,7 +140,7 @@
     config: Arc<Config>,
     state: Arc<Mutex<State>>,
     changed: Arc<Notify>,
-    life: Life,
+    lifecycle: Lifecycle,
     started: Instant,
 }
 
@@ -150,7 +150,7 @@
 ///
 /// Returns the error of the operating system if the address cannot be bound.
 pub async fn start(config: Config) -> std::io::Result<(Engine, Server)> {
-    let life = Life::new(config.death);
+    let lifecycle = Lifecycle::new(config.crash_scope);
     let listen = config.listen;
     let engine = Engine {
         state: Arc::new(Mutex::new(State {
@@ -167,11 +167,11 @@
         })),
         config: Arc::new(config),
         changed: Arc::new(Notify::new()),
-        life: life.clone(),
+        lifecycle: lifecycle.clone(),
         started: Instant::now(),
     };
     let handler = engine.clone();
-    let server = http::serve(listen, life.stop(), move |request| {
+    let server = http::serve(listen, lifecycle.stop(), move |request| {
         let engine = handler.clone();
         async move { engine.answer(request).await }
     })
@@ -195,8 +195,8 @@
 
     /// Returns the life of the engine, which can be paused and ended.
     #[must_use]
-    pub fn life(&self) -> &Life {
-        &self.life
+    pub fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -204,12 +204,12 @@
     }
 
     /// Answers one request.
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let path = request.uri().path().to_owned();
         if let Some(control) = path.strip_prefix("/control/") {
             return self.control(control, request).await;
         }
-        self.life.running().await;
+        self.lifecycle.running().await;
         match path.as_str() {
             "/generate" => match http::read_json(request).await {
                 Some(generate) => self.generate(generate),
@@ -253,16 +253,20 @@
     }
 
     /// Answers a request on the control endpoint.
-    async fn control(&self, path: &str, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn control(
+        &self,
+        path: &str,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, Abort> {
         if path == "stats" {
             return Ok(http::json(StatusCode::OK, &self.stats()));
         }
         let set_faults = |faults| self.set_faults(faults);
-        self.life.control(path, request, set_faults).await
+        self.lifecycle.control(path, request, set_faults).await
     }
 
     /// Takes a request to generate.
-    fn generate(&self, generate: Generate) -> Result<Response<Body>, Cut> {
+    fn generate(&self, generate: Generate) -> Result<Response<Body>, Abort> {
         let mut state = self.lock();
         if !state.orders.serves(&generate.version) {
             return Ok(http::problem(
@@ -319,7 +323,7 @@
     }
 
     /// Dies if the requests held outgrow the memory.
-    fn check_memory(&self) -> Result<(), Cut> {
+    fn check_memory(&self) -> Result<(), Abort> {
         let mut state = self.lock();
         let held = state.batch.held_tokens();
         state.stats.held_peak = state.stats.held_peak.max(held);
@@ -328,8 +332,8 @@
         }
         state.stats.overruns += 1;
         drop(state);
-        self.life.die();
-        Err(Cut)
+        self.lifecycle.crash();
+        Err(Abort)
     }
 
     /// Returns the load as it was some time ago.
--- a/standin/src/engine/orders.rs
+++ b/standin/src/engine/orders.rs
@@ -73,7 +73,7 @@
         };
         if loads {
             tokio::time::sleep(self.config.load_time).await;
-            self.life.running().await;
+            self.lifecycle.running().await;
         }
         if self.fenced_off(&order) {
             return http::problem(
--- a/standin/src/engine/stream.rs
+++ b/standin/src/engine/stream.rs
@@ -10,7 +10,7 @@
 
 use super::batch::{Live, Progress};
 use super::{Engine, Frame, Generate};
-use crate::http::{self, Body, Cut};
+use crate::http::{self, Abort, Body};
 use crate::oracle;
 
 /// Counts a reader for as long as it reads.
@@ -38,7 +38,7 @@
         let engine = self.clone();
         let prefill = self.config.prefill_per_token * u32::try_from(prefill).unwrap_or(u32::MAX);
         tokio::spawn(async move {
-            let stop = engine.life.stop();
+            let stop = engine.lifecycle.stop();
             tokio::select! {
                 () = stop.cancelled() => {}
                 () = engine.produce(&generate, &live, prefill) => {}
@@ -58,7 +58,7 @@
         for index in generate.resume.len() as u64..live.length {
             due += self.interval();
             time::sleep_until(due).await;
-            self.life.running().await;
+            self.lifecycle.running().await;
             self.wait_for_turn(live).await;
             due = due.max(Instant::now() - self.interval());
             orphan_since = live
@@ -114,7 +114,7 @@
     }
 
     /// Counts a token, and dies if the faults say that it was the last.
-    fn produced(&self) -> Result<(), Cut> {
+    fn produced(&self) -> Result<(), Abort> {
         let mut state = self.lock();
         state.stats.tokens += 1;
         let dies = match &mut state.faults.die_after_tokens {
@@ -127,8 +127,8 @@
         };
         drop(state);
         if dies {
-            self.life.die();
-            return Err(Cut);
+            self.lifecycle.crash();
+            return Err(Abort);
         }
         Ok(())
     }
@@ -156,7 +156,7 @@
 
 impl Cursor {
     /// Returns the next frame as a JSON line, or nothing at the end.
-    async fn frame(&mut self) -> Option<Result<Bytes, Cut>> {
+    async fn frame(&mut self) -> Option<Result<Bytes, Abort>> {
         if self.ended {
             return None;
         }
@@ -166,17 +166,17 @@
             .wait_for(|progress| progress.produced > next || progress.ended)
             .await;
         let Ok(produced) = waited.map(|progress| progress.produced) else {
-            return Some(Err(Cut));
+            return Some(Err(Abort));
         };
-        self.engine.life.running().await;
+        self.engine.lifecycle.running().await;
         let live = Arc::clone(&self.reader.0);
         let faults = self.engine.lock().faults.clone();
         if faults.cut_token == Some(next) {
-            return Some(Err(Cut));
+            return Some(Err(Abort));
         }
         if faults.stall_token == Some(next) {
-            self.engine.life.stop().cancelled().await;
-            return Some(Err(Cut));
+            self.engine.lifecycle.stop().cancelled().await;
+            return Some(Err(Abort));
         }
         if faults.stray_token == Some(next) {
             time::sleep(self.engine.config.token_interval).await;
@@ -187,7 +187,7 @@
             return Some(Ok(line(&frame)));
         }
         if next < live.length {
-            return Some(Err(Cut));
+            return Some(Err(Abort));
         }
         self.ended = true;
         let reason = if live.length == live.generate.max_tokens {
--- a/standin/src/faults.rs
+++ b/standin/src/faults.rs
@@ -11,14 +11,14 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use crate::http::{self, Body, Cut};
+use crate::http::{self, Abort, Body};
 
 /// Exit code of a stand-in process that died as its faults say.
 const DEATH_EXIT_CODE: i32 = 86;
 
 /// What death means for a stand-in.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub enum Death {
+pub enum CrashScope {
     /// The process ends.
     Process,
     /// Only the stand-in's tasks end; for stand-ins embedded in another process.
@@ -38,18 +38,18 @@
 
 /// The life of a stand-in: running, paused or dead.
 #[derive(Clone, Debug)]
-pub struct Life {
-    death: Death,
+pub struct Lifecycle {
+    crash_scope: CrashScope,
     stop: CancellationToken,
     paused: Arc<watch::Sender<bool>>,
 }
 
-impl Life {
+impl Lifecycle {
     /// Returns the life of a stand-in that has just started.
     #[must_use]
-    pub fn new(death: Death) -> Self {
+    pub fn new(crash_scope: CrashScope) -> Self {
         Self {
-            death,
+            crash_scope,
             stop: CancellationToken::new(),
             paused: Arc::new(watch::Sender::new(false)),
         }
@@ -62,16 +62,16 @@
     }
 
     /// Dies at once.
-    pub fn die(&self) {
+    pub fn crash(&self) {
         self.stop.cancel();
-        if self.death == Death::Process {
+        if self.crash_scope == CrashScope::Process {
             process::exit(DEATH_EXIT_CODE);
         }
     }
 
     /// Returns whether the stand-in has died.
     #[must_use]
-    pub fn dead(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.stop.is_cancelled()
     }
 
@@ -101,7 +101,7 @@
         path: &str,
         request: Request<Incoming>,
         set_faults: impl FnOnce(F),
-    ) -> Result<Response<Body>, Cut> {
+    ) -> Result<Response<Body>, Abort> {
         match path {
             "faults" => match http::read_json(request).await {
                 Some(faults) => {
@@ -123,10 +123,10 @@
     /// # Errors
     ///
     /// Cuts the connection if the order was to die.
-    pub fn obey(&self, order: Order) -> Result<Response<Body>, Cut> {
+    pub fn obey(&self, order: Order) -> Result<Response<Body>, Abort> {
         if order.die {
-            self.die();
-            return Err(Cut);
+            self.crash();
+            return Err(Abort);
         }
         if let Some(pause) = order.pause_ms {
             self.pause(Duration::from_millis(pause));
--- a/standin/src/http.rs
+++ b/standin/src/http.rs
@@ -24,12 +24,12 @@
 const BODY_LIMIT: usize = 16 << 20;
 
 /// A body whose error cuts the connection.
-pub type Body = UnsyncBoxBody<Bytes, Cut>;
+pub type Body = UnsyncBoxBody<Bytes, Abort>;
 
 /// Cuts the connection without an answer.
 #[derive(Clone, Copy, Debug, Snafu)]
 #[snafu(display("the stand-in cut the connection as its faults say"))]
-pub struct Cut;
+pub struct Abort;
 
 /// A running server.
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
 ) -> std::io::Result<Server>
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Result<Response<Body>, Cut>> + Send + 'static,
+    F: Future<Output = Result<Response<Body>, Abort>> + Send + 'static,
 {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
@@ -75,7 +75,7 @@
 async fn accept<H, F>(listener: TcpListener, stop: CancellationToken, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Result<Response<Body>, Cut>> + Send + 'static,
+    F: Future<Output = Result<Response<Body>, Abort>> + Send + 'static,
 {
     let mut connections = JoinSet::new();
     loop {
@@ -95,7 +95,7 @@
 async fn connection<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Result<Response<Body>, Cut>> + Send + 'static,
+    F: Future<Output = Result<Response<Body>, Abort>> + Send + 'static,
 {
     let _ = stream.set_nodelay(true);
     let service = service_fn(handler);
@@ -147,7 +147,7 @@
 /// Returns a body that is streamed; an error in the stream cuts the connection.
 pub fn stream<S>(chunks: S) -> Body
 where
-    S: Stream<Item = Result<Bytes, Cut>> + Send + 'static,
+    S: Stream<Item = Result<Bytes, Abort>> + Send + 'static,
 {
     StreamBody::new(chunks.map_ok(Frame::data)).boxed_unsync()
 }
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -10,8 +10,8 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-use crate::faults::{Death, Life};
-use crate::http::{self, Body, Cut, Server};
+use crate::faults::{CrashScope, Lifecycle};
+use crate::http::{self, Abort, Body, Server};
 
 mod calls;
 mod instances;
@@ -63,7 +63,7 @@
     /// Weight loads that the weight store allows each second.
     pub weight_loads_per_second: f64,
     /// What death means.
-    pub death: Death,
+    pub crash_scope: CrashScope,
 }
 
 impl Default for Config {
@@ -72,7 +72,7 @@
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             instances_lag: Duration::from_millis(200),
             weight_loads_per_second: 10.0,
-            death: Death::Tasks,
+            crash_scope: CrashScope::Tasks,
         }
     }
 }
@@ -113,7 +113,7 @@
 pub struct Platform {
     state: Arc<Mutex<State>>,
     revision: Arc<watch::Sender<u64>>,
-    life: Life,
+    lifecycle: Lifecycle,
     weight_interval: Duration,
 }
 
@@ -123,7 +123,7 @@
 ///
 /// Returns the error of the operating system if the address cannot be bound.
 pub async fn start(config: Config) -> std::io::Result<(Platform, Server)> {
-    let life = Life::new(config.death);
+    let lifecycle = Lifecycle::new(config.crash_scope);
     let platform = Platform {
         state: Arc::new(Mutex::new(State {
             store: store::Store::default(),
@@ -133,11 +133,11 @@
             next_weight_load: Instant::now(),
         })),
         revision: Arc::new(watch::Sender::new(0)),
-        life: life.clone(),
+        lifecycle: lifecycle.clone(),
         weight_interval: Duration::from_secs_f64(1.0 / config.weight_loads_per_second),
     };
     let handler = platform.clone();
-    let server = http::serve(config.listen, life.stop(), move |request| {
+    let server = http::serve(config.listen, lifecycle.stop(), move |request| {
         let platform = handler.clone();
         async move { platform.answer(request).await }
     })
@@ -173,12 +173,12 @@
     }
 
     /// Answers one request.
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let path = request.uri().path().to_owned();
         if let Some(control) = path.strip_prefix("/control/") {
             return self.control(control, request).await;
         }
-        self.life.running().await;
+        self.lifecycle.running().await;
         let faults = self.lock().faults.clone();
         let caller = request
             .headers()
@@ -186,8 +186,8 @@
             .and_then(|value| value.to_str().ok());
         let cut_off = caller.is_some_and(|caller| faults.cut_off.iter().any(|name| name == caller));
         if cut_off {
-            self.life.stop().cancelled().await;
-            return Err(Cut);
+            self.lifecycle.stop().cancelled().await;
+            return Err(Abort);
         }
         if let Some(name) = path.strip_prefix("/instances") {
             if faults.instances_down {
@@ -199,8 +199,8 @@
             return Ok(self.instances(name.trim_start_matches('/'), request).await);
         }
         if faults.hang {
-            self.life.stop().cancelled().await;
-            return Err(Cut);
+            self.lifecycle.stop().cancelled().await;
+            return Err(Abort);
         }
         if faults.down {
             return Ok(http::problem(
@@ -226,11 +226,15 @@
     }
 
     /// Answers a request on the control endpoint.
-    async fn control(&self, path: &str, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn control(
+        &self,
+        path: &str,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, Abort> {
         if path == "stats" {
             return Ok(http::json(StatusCode::OK, &self.stats()));
         }
         let set_faults = |faults| self.set_faults(faults);
-        self.life.control(path, request, set_faults).await
+        self.lifecycle.control(path, request, set_faults).await
     }
 }
--- a/standin/src/platform/calls.rs
+++ b/standin/src/platform/calls.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{Instance, LATE_WRITE_DELAY, Platform, WATCH_TIMEOUT_MS, store};
-use crate::http::{self, Body, Cut};
+use crate::http::{self, Abort, Body};
 
 impl Platform {
     /// Answers a read, write or delete of one key.
@@ -16,7 +16,7 @@
         &self,
         key: &str,
         request: Request<Incoming>,
-    ) -> Result<Response<Body>, Cut> {
+    ) -> Result<Response<Body>, Abort> {
         let method = request.method().clone();
         if method == Method::GET {
             return Ok(self.get(key));
@@ -24,7 +24,7 @@
         let expected = http::query(&request, "expected").and_then(|value| value.parse().ok());
         let lease = http::query(&request, "lease").and_then(|value| value.parse().ok());
         let Some(body) = http::read(request).await else {
-            return Err(Cut);
+            return Err(Abort);
         };
         let value = match method {
             Method::PUT => Some(String::from_utf8_lossy(&body).into_owned()),
@@ -65,7 +65,7 @@
         value: Option<String>,
         expected: Option<u64>,
         lease: Option<u64>,
-    ) -> Result<Response<Body>, Cut> {
+    ) -> Result<Response<Body>, Abort> {
         let mut state = self.lock();
         state.stats.writes += 1;
         if state.faults.late_writes > 0 {
@@ -75,7 +75,7 @@
                 self.clone()
                     .write_late(key.to_owned(), value, expected, lease),
             );
-            return Err(Cut);
+            return Err(Abort);
         }
         let written = state
             .store
@@ -95,7 +95,7 @@
         };
         if state.faults.drop_answers > 0 {
             state.faults.drop_answers -= 1;
-            return Err(Cut);
+            return Err(Abort);
         }
         Ok(answer)
     }
@@ -172,7 +172,7 @@
         &self,
         path: &str,
         request: Request<Incoming>,
-    ) -> Result<Response<Body>, Cut> {
+    ) -> Result<Response<Body>, Abort> {
         let method = request.method().clone();
         let ttl = http::query(&request, "ttl_ms")
             .and_then(|value| value.parse().ok())
@@ -191,7 +191,7 @@
         self.revision.send_replace(state.store.revision());
         if state.faults.drop_answers > 0 {
             state.faults.drop_answers -= 1;
-            return Err(Cut);
+            return Err(Abort);
         }
         match held {
             Some(lease) => Ok(http::json(StatusCode::OK, &json!({ "lease": lease }))),
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::faults::{Death, Life};
-use crate::http::{self, Body, Cut, Server};
+use crate::faults::{CrashScope, Lifecycle};
+use crate::http::{self, Abort, Body, Server};
 use crate::oracle;
 
 /// Header that carries the request's identifier, echoed on the answer.
@@ -65,7 +65,7 @@
     /// Time that each request takes.
     pub work: Duration,
     /// What death means.
-    pub death: Death,
+    pub crash_scope: CrashScope,
 }
 
 impl Default for Config {
@@ -74,7 +74,7 @@
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
             version: "v1".to_owned(),
             work: Duration::from_millis(1),
-            death: Death::Tasks,
+            crash_scope: CrashScope::Tasks,
         }
     }
 }
@@ -86,12 +86,12 @@
     stats: Stats,
     runs: BTreeMap<String, u64>,
     ran: BTreeSet<String>,
-    passed_on: BTreeMap<String, PassedOn>,
+    forwarded_headers: BTreeMap<String, ForwardedHeaders>,
 }
 
 /// What came with an action beside its body.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct PassedOn {
+pub struct ForwardedHeaders {
     /// Header `traceparent`.
     pub traceparent: String,
     /// Header `medlarfall-timeout-ms`.
@@ -103,7 +103,7 @@
 pub struct Service {
     config: Arc<Config>,
     state: Arc<Mutex<State>>,
-    life: Life,
+    lifecycle: Lifecycle,
 }
 
 /// Starts a service.
@@ -112,15 +112,15 @@
 ///
 /// Returns the error of the operating system if the address cannot be bound.
 pub async fn start(config: Config) -> std::io::Result<(Service, Server)> {
-    let life = Life::new(config.death);
+    let lifecycle = Lifecycle::new(config.crash_scope);
     let listen = config.listen;
     let service = Service {
         config: Arc::new(config),
         state: Arc::default(),
-        life: life.clone(),
+        lifecycle: lifecycle.clone(),
     };
     let handler = service.clone();
-    let server = http::serve(listen, life.stop(), move |request| {
+    let server = http::serve(listen, lifecycle.stop(), move |request| {
         let service = handler.clone();
         async move { service.answer(request).await }
     })
@@ -144,20 +144,20 @@
 
     /// Returns how often each action ran, by the action's name in the request body.
     #[must_use]
-    pub fn runs(&self) -> BTreeMap<String, u64> {
+    pub fn run_counts(&self) -> BTreeMap<String, u64> {
         self.lock().runs.clone()
     }
 
     /// Returns the identifiers of the requests whose actions ran.
     #[must_use]
-    pub fn ran(&self) -> BTreeSet<String> {
+    pub fn executed_requests(&self) -> BTreeSet<String> {
         self.lock().ran.clone()
     }
 
     /// Returns what came with the last call of an action.
     #[must_use]
-    pub fn passed_on(&self, action: &str) -> Option<PassedOn> {
-        self.lock().passed_on.get(action).cloned()
+    pub fn forwarded_headers(&self, action: &str) -> Option<ForwardedHeaders> {
+        self.lock().forwarded_headers.get(action).cloned()
     }
 
     /// Returns the counts since the start.
@@ -168,8 +168,8 @@
 
     /// Returns the life of the service, which can be paused and ended.
     #[must_use]
-    pub fn life(&self) -> &Life {
-        &self.life
+    pub fn lifecycle(&self) -> &Lifecycle {
+        &self.lifecycle
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -177,15 +177,15 @@
     }
 
     /// Answers one request.
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let path = request.uri().path().to_owned();
         if let Some(control) = path.strip_prefix("/control/") {
             return self.control(control, request).await;
         }
-        self.life.running().await;
+        self.lifecycle.running().await;
         let (fails, delay) = self.meet(&path);
         tokio::time::sleep(self.config.work + delay).await;
-        self.life.running().await;
+        self.lifecycle.running().await;
         let request_id = header(&request, REQUEST_ID);
         let attempt = header(&request, ATTEMPT);
         if let Some(response) = self.refusal(fails) {
@@ -230,7 +230,11 @@
     }
 
     /// Reads a record, or runs an action and counts it.
-    async fn respond(&self, path: &str, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn respond(
+        &self,
+        path: &str,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, Abort> {
         let version = &self.config.version;
         if request.method() == Method::GET {
             let value = record(path);
@@ -240,18 +244,20 @@
             ));
         }
         let request_id = header(&request, REQUEST_ID);
-        let passed_on = PassedOn {
+        let forwarded_headers = ForwardedHeaders {
             traceparent: header(&request, "traceparent"),
             timeout_ms: header(&request, "medlarfall-timeout-ms"),
         };
         let Some(body) = http::read(request).await else {
-            return Err(Cut);
+            return Err(Abort);
         };
         let action = String::from_utf8_lossy(&body).into_owned();
-        self.lock().passed_on.insert(action.clone(), passed_on);
+        self.lock()
+            .forwarded_headers
+            .insert(action.clone(), forwarded_headers);
         let (runs, faults) = self.run(&action, request_id)?;
         tokio::time::sleep(Duration::from_millis(faults.answer_after_ms)).await;
-        self.life.running().await;
+        self.lifecycle.running().await;
         let padding = ".".repeat(faults.answer_bytes);
         let mut answer =
             json!({ "action": action, "path": path, "runs": runs, "version": version });
@@ -262,7 +268,7 @@
     }
 
     /// Runs an action; returns how often it has run, or loses the answer as the faults say.
-    fn run(&self, action: &str, request_id: String) -> Result<(u64, Faults), Cut> {
+    fn run(&self, action: &str, request_id: String) -> Result<(u64, Faults), Abort> {
         let mut state = self.lock();
         state.ran.insert(request_id);
         let runs = state.runs.entry(action.to_owned()).or_default();
@@ -270,7 +276,7 @@
         let runs = *runs;
         if state.faults.drop_answers > 0 {
             state.faults.drop_answers -= 1;
-            return Err(Cut);
+            return Err(Abort);
         }
         Ok((runs, state.faults.clone()))
     }
@@ -286,14 +292,18 @@
     }
 
     /// Answers a request on the control endpoint.
-    async fn control(&self, path: &str, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+    async fn control(
+        &self,
+        path: &str,
+        request: Request<Incoming>,
+    ) -> Result<Response<Body>, Abort> {
         match path {
             "stats" => Ok(http::json(StatusCode::OK, &self.stats())),
-            "runs" => Ok(http::json(StatusCode::OK, &self.runs())),
-            "ran" => Ok(http::json(StatusCode::OK, &self.ran())),
+            "runs" => Ok(http::json(StatusCode::OK, &self.run_counts())),
+            "ran" => Ok(http::json(StatusCode::OK, &self.executed_requests())),
             _ => {
                 let set_faults = |faults| self.set_faults(faults);
-                self.life.control(path, request, set_faults).await
+                self.lifecycle.control(path, request, set_faults).await
             }
         }
     }
