--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -13,7 +13,7 @@
 use crate::faults::{CrashScope, Lifecycle};
 use crate::http::{self, Abort, Body, Server};
 
-mod calls;
+mod handlers;
 mod instances;
 mod store;
 
