--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -1,5 +1,8 @@
-//! The stand-in engine: batches, a memory that it dies from when overrun, a prefix cache, lagging
-//! load reports, priorities, resume, attach, cancel and orders.
+//! Stand-in for a model engine.
+//!
+//! It generates tokens in a batch of limited size with priorities, keeps a prefix cache, publishes
+//! delayed load reports, lets callers resume, attach to and cancel generations, carries out orders,
+//! and crashes when the requests need more than its memory.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -26,31 +29,31 @@
 pub use orders::{Order, OrderState};
 pub use wire::{Frame, Generate, Load, Reference, Stats};
 
-/// Faults of the engine, set on `POST /control/faults`; each call replaces them all.
+/// Faults of the engine, the body of `POST /control/faults`; each call replaces all of them.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Dies after this many more tokens, counted over all generations.
+    /// Number of further tokens, over all generations, after which the engine crashes.
     pub die_after_tokens: Option<u64>,
-    /// Factor on the time of each token.
+    /// Factor by which the time of each token is multiplied.
     pub slow_factor: f64,
-    /// Index of a token that each stream loses.
+    /// Index of a token that each stream omits.
     pub lose_token: Option<u64>,
-    /// Index of a token that each stream repeats.
+    /// Index of a token that each stream sends twice.
     pub repeat_token: Option<u64>,
-    /// Index of a frame in each stream that carries another request's identifier and token.
+    /// Index at which each stream sends a frame with another request's identifier and token.
     pub cross_token: Option<u64>,
-    /// Index at which each stream ends without its end frame.
+    /// Index at which the connection of each stream is aborted, before its end frame.
     pub cut_token: Option<u64>,
-    /// Index at which each stream stops sending while its connection stays open.
+    /// Index at which each stream stops sending; its connection stays open.
     pub stall_token: Option<u64>,
-    /// Index from which on each stream sends only frames of another request, without an end.
+    /// Index from which each stream sends frames of another request without limit.
     pub stray_token: Option<u64>,
-    /// Every n-th request fails before it runs; 0 for none.
+    /// Every n-th request fails before it runs; 0 lets none fail.
     pub fail_every: u64,
-    /// The faults `fail_every` and `slow_factor` apply only after this many requests.
+    /// Number of requests after which `fail_every` and `slow_factor` start to apply.
     pub after_requests: u64,
-    /// The faults `fail_every` and `slow_factor` apply only with more than this many running.
+    /// `fail_every` and `slow_factor` apply only while at least this many generations run.
     pub above_running: u64,
 }
 
@@ -72,34 +75,35 @@
     }
 }
 
-/// How an engine is started.
+/// Configuration of an engine.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Version that the engine serves.
+    /// Version that the engine serves until an order changes it.
     pub version: String,
     /// Time between two tokens of one generation.
     pub token_interval: Duration,
-    /// Time to compute one prompt token that is not cached.
+    /// Prefill time of one prompt token that is not cached.
     pub prefill_per_token: Duration,
-    /// Most generations that run at once; others wait by priority.
+    /// Maximum number of generations that run at once; the others wait by priority.
     pub batch_limit: usize,
-    /// Memory in tokens: prompts and outputs of all requests held; the engine dies over it.
+    /// Size of the memory, in tokens; the engine crashes if the prompts and outputs of its requests
+    /// exceed it.
     pub memory_tokens: u64,
-    /// Memory of the prefix cache in tokens.
+    /// Size of the prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// Delay of load reports and cache events.
+    /// Delay after which load reports and cache events become visible.
     pub report_lag: Duration,
-    /// Every n-th cache event is never published; 0 for none.
+    /// Every n-th cache event is never published; 0 publishes all.
     pub cache_gap_every: u64,
-    /// How long a generation goes on without a reader.
+    /// How long a generation continues without a reader.
     pub orphan_grace: Duration,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub fencing: bool,
-    /// Time that an order to load takes.
+    /// Time to load versions that an order adds.
     pub load_time: Duration,
-    /// What death means.
+    /// What a crash ends.
     pub crash_scope: CrashScope,
 }
 
@@ -123,7 +127,7 @@
     }
 }
 
-/// What the engine holds.
+/// Mutable state of an engine.
 #[derive(Debug)]
 struct State {
     batch: batch::Batch,
@@ -131,7 +135,7 @@
     orders: OrderState,
     faults: Faults,
     stats: Stats,
-    reports: Vec<(Instant, Load)>,
+    load_reports: Vec<(Instant, Load)>,
 }
 
 /// A running stand-in engine.
@@ -139,7 +143,7 @@
 pub struct Engine {
     config: Arc<Config>,
     state: Arc<Mutex<State>>,
-    changed: Arc<Notify>,
+    batch_changed: Arc<Notify>,
     lifecycle: Lifecycle,
     started: Instant,
 }
@@ -163,17 +167,17 @@
             orders: OrderState::new(&config.version),
             faults: Faults::default(),
             stats: Stats::default(),
-            reports: Vec::new(),
+            load_reports: Vec::new(),
         })),
         config: Arc::new(config),
-        changed: Arc::new(Notify::new()),
+        batch_changed: Arc::new(Notify::new()),
         lifecycle: lifecycle.clone(),
         started: Instant::now(),
     };
     let handler = engine.clone();
-    let server = http::serve(listen, lifecycle.stop(), move |request| {
+    let server = http::serve(listen, lifecycle.crash_token(), move |request| {
         let engine = handler.clone();
-        async move { engine.answer(request).await }
+        async move { engine.handle(request).await }
     })
     .await?;
     Ok((engine, server))
@@ -185,15 +189,15 @@
         self.lock().faults = faults;
     }
 
-    /// Returns the counts since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn stats(&self) -> Stats {
         let mut state = self.lock();
-        state.stats.live = state.batch.live();
+        state.stats.live = state.batch.count();
         state.stats
     }
 
-    /// Returns the life of the engine, which can be paused and ended.
+    /// Returns the lifecycle, through which the engine can be paused or crashed.
     #[must_use]
     pub fn lifecycle(&self) -> &Lifecycle {
         &self.lifecycle
@@ -203,13 +207,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers one request.
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
+    /// Handles one HTTP request.
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let path = request.uri().path().to_owned();
         if let Some(control) = path.strip_prefix("/control/") {
             return self.control(control, request).await;
         }
-        self.lifecycle.running().await;
+        self.lifecycle.wait_while_paused().await;
         match path.as_str() {
             "/generate" => match http::read_json(request).await {
                 Some(generate) => self.generate(generate),
@@ -232,9 +236,9 @@
                     "a reference expected",
                 )),
             },
-            "/load" => Ok(http::json(StatusCode::OK, &self.load())),
+            "/load" => Ok(http::json(StatusCode::OK, &self.delayed_load())),
             "/cache-events" => {
-                let after = http::query(&request, "after")
+                let after = http::query_parameter(&request, "after")
                     .and_then(|value| value.parse().ok())
                     .unwrap_or(0);
                 let events = self.lock().cache.events(after, Instant::now());
@@ -245,14 +249,14 @@
                 None => Ok(http::problem(StatusCode::BAD_REQUEST, "an order expected")),
             },
             "/state" => {
-                let orders = self.lock().orders.clone();
-                Ok(http::json(StatusCode::OK, &orders))
+                let order_state = self.lock().orders.clone();
+                Ok(http::json(StatusCode::OK, &order_state))
             }
             _ => Ok(http::problem(StatusCode::NOT_FOUND, "no such path")),
         }
     }
 
-    /// Answers a request on the control endpoint.
+    /// Handles a request to the control endpoint.
     async fn control(
         &self,
         path: &str,
@@ -265,10 +269,10 @@
         self.lifecycle.control(path, request, set_faults).await
     }
 
-    /// Takes a request to generate.
-    fn generate(&self, generate: Generate) -> Result<Response<Body>, Abort> {
+    /// Admits a request to generate and returns its stream.
+    fn generate(&self, request: Generate) -> Result<Response<Body>, Abort> {
         let mut state = self.lock();
-        if !state.orders.serves(&generate.version) {
+        if !state.orders.serves(&request.version) {
             return Ok(http::problem(
                 StatusCode::CONFLICT,
                 "this engine does not serve that version",
@@ -278,10 +282,11 @@
         state.stats.last_request_ms =
             u64::try_from(self.started.elapsed().as_millis()).unwrap_or(u64::MAX);
         let count = state.stats.requests;
-        let faulty = state.faulty();
-        let fails =
-            faulty && state.faults.fail_every > 0 && count.is_multiple_of(state.faults.fail_every);
-        let slow = faulty && state.faults.slow_factor > 1.0;
+        let faults_apply = state.version_faults_apply();
+        let fails = faults_apply
+            && state.faults.fail_every > 0
+            && count.is_multiple_of(state.faults.fail_every);
+        let slow = faults_apply && state.faults.slow_factor > 1.0;
         state.stats.faulted += u64::from(fails || slow);
         if fails {
             return Ok(http::problem(
@@ -289,40 +294,42 @@
                 "the engine failed before the request ran",
             ));
         }
-        let prompt_tokens = oracle::prompt_tokens(&generate.prompt);
-        let cached = state.cache.admit(&generate.prompt, Instant::now());
+        let prompt_tokens = oracle::prompt_tokens(&request.prompt);
+        let cached = state.cache.admit(&request.prompt, Instant::now());
         state.stats.cached_tokens += cached;
         state.stats.prompt_tokens += prompt_tokens;
-        let live = state.batch.admit(&generate);
+        let generation = state.batch.admit(&request);
         drop(state);
         self.check_memory()?;
         self.spawn_generation(
-            generate,
-            Arc::clone(&live),
+            request,
+            Arc::clone(&generation),
             prompt_tokens - cached.min(prompt_tokens),
         );
-        Ok(self.stream(live, None))
+        Ok(self.stream(generation, None))
     }
 
-    /// Reads on from a running generation.
+    /// Returns the stream of a running generation from the index that the reference gives.
     fn attach(&self, reference: &Reference) -> Response<Body> {
         match self.lock().batch.find(reference) {
-            Some(live) if reference.from >= live.first() => self.stream(live, Some(reference.from)),
+            Some(generation) if reference.from >= generation.first_index() => {
+                self.stream(generation, Some(reference.from))
+            }
             _ => http::problem(StatusCode::NOT_FOUND, "no such generation runs here"),
         }
     }
 
-    /// Ends a generation.
+    /// Cancels a generation.
     fn cancel(&self, reference: &Reference) -> Response<Body> {
         let found = self.lock().batch.find(reference);
-        if let Some(live) = &found {
-            live.cancel();
+        if let Some(generation) = &found {
+            generation.cancel();
         }
-        self.changed.notify_waiters();
+        self.batch_changed.notify_waiters();
         http::json(StatusCode::OK, &json!({ "found": found.is_some() }))
     }
 
-    /// Dies if the requests held outgrow the memory.
+    /// Crashes the engine if the tokens of its requests exceed the memory.
     fn check_memory(&self) -> Result<(), Abort> {
         let mut state = self.lock();
         let held = state.batch.held_tokens();
@@ -336,24 +343,24 @@
         Err(Abort)
     }
 
-    /// Returns the load as it was some time ago.
-    fn load(&self) -> Load {
+    /// Returns the newest load report that is older than the report delay, or an empty one.
+    fn delayed_load(&self) -> Load {
         let now = Instant::now();
         let mut state = self.lock();
         let current = Load {
             held_tokens: state.batch.held_tokens(),
             memory_tokens: self.config.memory_tokens,
-            running: state.batch.running(),
-            waiting: state.batch.live() - state.batch.running(),
+            running: state.batch.running_count(),
+            waiting: state.batch.count() - state.batch.running_count(),
         };
-        state.reports.push((now, current));
+        state.load_reports.push((now, current));
         let due = state
-            .reports
+            .load_reports
             .partition_point(|(at, _)| *at + self.config.report_lag <= now);
         if due > 1 {
-            state.reports.drain(..due - 1);
+            state.load_reports.drain(..due - 1);
         }
-        match state.reports.first() {
+        match state.load_reports.first() {
             Some((at, load)) if *at + self.config.report_lag <= now => load.clone(),
             _ => Load {
                 memory_tokens: self.config.memory_tokens,
@@ -364,9 +371,9 @@
 }
 
 impl State {
-    /// Returns whether the faults of a bad version apply now.
-    fn faulty(&self) -> bool {
+    /// Returns whether `fail_every` and `slow_factor`, which imitate a bad version, apply now.
+    fn version_faults_apply(&self) -> bool {
         self.stats.requests > self.faults.after_requests
-            && self.batch.running() >= self.faults.above_running
+            && self.batch.running_count() >= self.faults.above_running
     }
 }
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -1,4 +1,4 @@
-//! The requests that an engine holds: running ones and ones that wait by priority.
+//! Generations that an engine holds: up to the batch limit they run, the others wait by priority.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use super::{Generate, Reference};
 use crate::oracle;
 
-/// How far a generation has come.
+/// Progress of a generation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) struct Progress {
-    /// Index after the last token produced.
+    /// Index of the next token to produce.
     pub(super) produced: u64,
     /// Whether no more tokens will be produced.
     pub(super) ended: bool,
@@ -20,60 +20,59 @@
 
 /// A generation that the engine holds.
 #[derive(Debug)]
-pub(super) struct Live {
+pub(super) struct Generation {
     /// The request.
-    pub(super) generate: Generate,
-    /// Number of tokens of the whole answer.
+    pub(super) request: Generate,
+    /// Number of tokens in the complete answer.
     pub(super) length: u64,
-    /// How far the generation has come.
+    /// Current progress, watched by the readers.
     pub(super) progress: watch::Sender<Progress>,
-    order: u64,
+    sequence: u64,
     cancelled: AtomicBool,
     readers: AtomicU64,
 }
 
-impl Live {
+impl Generation {
     /// Returns the index of the first token that this generation produces.
-    pub(super) fn first(&self) -> u64 {
-        self.generate.resume.len() as u64
+    pub(super) fn first_index(&self) -> u64 {
+        self.request.resume.len() as u64
     }
 
-    /// Ends the generation.
+    /// Marks the generation as cancelled; its task then ends.
     pub(super) fn cancel(&self) {
         self.cancelled.store(true, Ordering::SeqCst);
     }
 
-    /// Returns whether the generation has been cancelled.
-    pub(super) fn cancelled(&self) -> bool {
+    pub(super) fn is_cancelled(&self) -> bool {
         self.cancelled.load(Ordering::SeqCst)
     }
 
-    /// Counts a reader that came or left.
-    pub(super) fn reader(&self, came: bool) {
-        if came {
+    /// Updates the number of readers after one was attached or, if `attached` is false, detached.
+    pub(super) fn count_reader(&self, attached: bool) {
+        if attached {
             self.readers.fetch_add(1, Ordering::SeqCst);
         } else {
             self.readers.fetch_sub(1, Ordering::SeqCst);
         }
     }
 
-    /// Returns whether nobody reads the generation.
-    pub(super) fn orphan(&self) -> bool {
+    /// Returns whether the generation has no reader.
+    pub(super) fn is_orphaned(&self) -> bool {
         self.readers.load(Ordering::SeqCst) == 0
     }
 
-    /// Returns the tokens that the generation holds in memory.
+    /// Returns the number of tokens that the generation holds in memory.
     fn held_tokens(&self) -> u64 {
-        oracle::prompt_tokens(&self.generate.prompt) + self.progress.borrow().produced
+        oracle::prompt_tokens(&self.request.prompt) + self.progress.borrow().produced
     }
 }
 
-/// The requests that an engine holds.
+/// The generations that an engine holds, by request identifier and attempt.
 #[derive(Debug)]
 pub(super) struct Batch {
     limit: usize,
-    lives: HashMap<(String, u64), Arc<Live>>,
-    next_order: u64,
+    generations: HashMap<(String, u64), Arc<Generation>>,
+    next_sequence: u64,
 }
 
 impl Batch {
@@ -81,76 +80,82 @@
     pub(super) fn new(limit: usize) -> Self {
         Self {
             limit,
-            lives: HashMap::new(),
-            next_order: 0,
+            generations: HashMap::new(),
+            next_sequence: 0,
         }
     }
 
-    /// Adds a request.
-    pub(super) fn admit(&mut self, generate: &Generate) -> Arc<Live> {
-        self.next_order += 1;
-        let produced = generate.resume.len() as u64;
-        let live = Arc::new(Live {
-            length: oracle::length(&generate.version, &generate.prompt, generate.max_tokens),
+    /// Adds a request, and cancels an earlier one with the same identifier and attempt.
+    pub(super) fn admit(&mut self, request: &Generate) -> Arc<Generation> {
+        self.next_sequence += 1;
+        let produced = request.resume.len() as u64;
+        let generation = Arc::new(Generation {
+            length: oracle::length(&request.version, &request.prompt, request.max_tokens),
             progress: watch::Sender::new(Progress {
                 produced,
                 ended: false,
             }),
-            order: self.next_order,
+            sequence: self.next_sequence,
             cancelled: AtomicBool::new(false),
             readers: AtomicU64::new(1),
-            generate: generate.clone(),
+            request: request.clone(),
         });
-        let key = (generate.request_id.clone(), generate.attempt);
-        if let Some(earlier) = self.lives.insert(key, Arc::clone(&live)) {
+        let key = (request.request_id.clone(), request.attempt);
+        if let Some(earlier) = self.generations.insert(key, Arc::clone(&generation)) {
             earlier.cancel();
         }
-        live
+        generation
     }
 
-    /// Returns the generation that a reference names.
-    pub(super) fn find(&self, reference: &Reference) -> Option<Arc<Live>> {
+    /// Returns the generation that `reference` identifies.
+    pub(super) fn find(&self, reference: &Reference) -> Option<Arc<Generation>> {
         let key = (reference.request_id.clone(), reference.attempt);
-        self.lives.get(&key).cloned()
+        self.generations.get(&key).cloned()
     }
 
-    /// Removes a generation that has ended.
-    pub(super) fn remove(&mut self, live: &Arc<Live>) {
-        let key = (live.generate.request_id.clone(), live.generate.attempt);
-        let same = self
-            .lives
+    /// Removes a generation that has ended, unless another one has replaced it.
+    pub(super) fn remove(&mut self, generation: &Arc<Generation>) {
+        let key = (
+            generation.request.request_id.clone(),
+            generation.request.attempt,
+        );
+        let current = self
+            .generations
             .get(&key)
-            .is_some_and(|held| Arc::ptr_eq(held, live));
-        if same {
-            self.lives.remove(&key);
+            .is_some_and(|held| Arc::ptr_eq(held, generation));
+        if current {
+            self.generations.remove(&key);
         }
     }
 
-    /// Returns whether a generation is among those that run now.
-    pub(super) fn runs(&self, live: &Live) -> bool {
-        if self.lives.len() <= self.limit {
+    /// Returns whether the priority and age of a generation let it run now.
+    pub(super) fn is_running(&self, generation: &Generation) -> bool {
+        if self.generations.len() <= self.limit {
             return true;
         }
-        let rank = (-live.generate.priority, live.order);
+        let rank = (-generation.request.priority, generation.sequence);
         let before = self
-            .lives
+            .generations
             .values()
-            .filter(|other| (-other.generate.priority, other.order) < rank);
+            .filter(|other| (-other.request.priority, other.sequence) < rank);
         before.count() < self.limit
     }
 
-    /// Returns the number of requests held.
-    pub(super) fn live(&self) -> u64 {
-        self.lives.len() as u64
+    /// Returns the number of running and waiting generations.
+    pub(super) fn count(&self) -> u64 {
+        self.generations.len() as u64
     }
 
-    /// Returns the number of generations that run now.
-    pub(super) fn running(&self) -> u64 {
-        self.lives.len().min(self.limit) as u64
+    /// Returns the number of running generations.
+    pub(super) fn running_count(&self) -> u64 {
+        self.generations.len().min(self.limit) as u64
     }
 
-    /// Returns the tokens that all requests hold in memory.
+    /// Returns the number of tokens that all generations hold in memory.
     pub(super) fn held_tokens(&self) -> u64 {
-        self.lives.values().map(|live| live.held_tokens()).sum()
+        self.generations
+            .values()
+            .map(|generation| generation.held_tokens())
+            .sum()
     }
 }
--- a/standin/src/engine/orders.rs
+++ b/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load versions, change role and drain, with or without fencing.
+//! Orders to load versions, change the role or drain, optionally guarded by fencing numbers.
 
 use std::collections::BTreeSet;
 
@@ -8,40 +8,41 @@
 use super::Engine;
 use crate::http::{self, Body};
 
-/// An order: the state in which the engine shall end, `POST /orders`.
+/// An order with the target state of the engine, the body of `POST /orders`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Order {
-    /// Fencing number; where fencing is enforced, a lower one than the highest seen is refused.
+    /// Fencing number; an engine that enforces fencing refuses a number below the highest one that
+    /// it has received.
     pub fencing: u64,
-    /// Versions that shall be loaded; absent leaves them as they are.
+    /// Versions to have loaded; if absent, they stay unchanged.
     pub versions: Option<BTreeSet<String>>,
-    /// Role that the engine shall have; absent leaves it as it is.
+    /// Role to take; if absent, it stays unchanged.
     pub role: Option<String>,
-    /// Whether the engine shall take no new work; absent leaves it as it is.
+    /// Whether to refuse new requests; if absent, this stays unchanged.
     pub drain: Option<bool>,
 }
 
-/// What orders have made of the engine, `GET /state`.
+/// State of the engine that orders change, `GET /state`.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct OrderState {
-    /// Highest fencing number seen.
+    /// Highest fencing number received.
     pub fencing: u64,
-    /// Versions that are loaded.
+    /// Loaded versions.
     pub versions: BTreeSet<String>,
     /// Role of the engine.
     pub role: String,
-    /// Whether the engine takes no new work.
+    /// Whether the engine refuses new requests.
     pub draining: bool,
-    /// Orders that were carried out.
+    /// Number of orders that were carried out.
     pub carried_out: u64,
-    /// Orders refused for their fencing number.
+    /// Number of orders that were refused because of their fencing number.
     pub fenced_off: u64,
 }
 
 impl OrderState {
-    /// Returns the state of an engine that has had no order.
+    /// Returns the initial state of an engine that serves `version`.
     #[must_use]
     pub fn new(version: &str) -> Self {
         Self {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Returns whether the engine takes new work for `version`.
+    /// Returns whether the engine accepts new requests for `version`.
     #[must_use]
     pub fn serves(&self, version: &str) -> bool {
         !self.draining && self.versions.contains(version)
@@ -60,50 +61,53 @@
 
 impl Engine {
     /// Carries out an order.
+    ///
+    /// The fencing number is checked again after loading, since a newer order may have come
+    /// meanwhile.
     pub(super) async fn order(&self, order: Order) -> Response<Body> {
-        if self.fenced_off(&order) {
+        if self.refuse_outdated(&order) {
             return http::problem(StatusCode::PRECONDITION_FAILED, "the fencing number is old");
         }
-        let loads = {
+        let needs_loading = {
             let state = self.lock();
             order
                 .versions
                 .as_ref()
                 .is_some_and(|versions| !versions.is_subset(&state.orders.versions))
         };
-        if loads {
+        if needs_loading {
             tokio::time::sleep(self.config.load_time).await;
-            self.lifecycle.running().await;
+            self.lifecycle.wait_while_paused().await;
         }
-        if self.fenced_off(&order) {
+        if self.refuse_outdated(&order) {
             return http::problem(
                 StatusCode::PRECONDITION_FAILED,
                 "the fencing number became old",
             );
         }
         let mut state = self.lock();
-        let orders = &mut state.orders;
+        let order_state = &mut state.orders;
         if let Some(versions) = order.versions {
-            orders.versions = versions;
+            order_state.versions = versions;
         }
         if let Some(role) = order.role {
-            orders.role = role;
+            order_state.role = role;
         }
         if let Some(drain) = order.drain {
-            orders.draining = drain;
+            order_state.draining = drain;
         }
-        orders.carried_out += 1;
-        http::json(StatusCode::OK, orders)
+        order_state.carried_out += 1;
+        http::json(StatusCode::OK, order_state)
     }
 
-    /// Returns whether an order comes too late to be obeyed; otherwise notes its fencing number.
-    fn fenced_off(&self, order: &Order) -> bool {
+    /// Records the fencing number of an order; returns whether the order must be refused for it.
+    fn refuse_outdated(&self, order: &Order) -> bool {
         let mut state = self.lock();
-        let orders = &mut state.orders;
-        let old = order.fencing < orders.fencing;
-        orders.fencing = orders.fencing.max(order.fencing);
-        if old && self.config.fencing {
-            orders.fenced_off += 1;
+        let order_state = &mut state.orders;
+        let outdated = order.fencing < order_state.fencing;
+        order_state.fencing = order_state.fencing.max(order.fencing);
+        if outdated && self.config.fencing {
+            order_state.fenced_off += 1;
             return true;
         }
         false
--- a/standin/src/engine/wire.rs
+++ b/standin/src/engine/wire.rs
@@ -1,28 +1,28 @@
-//! Messages of the engine's protocol, and its counts for tests.
+//! Messages of the engine's HTTP protocol, and the counters that its control endpoint returns.
 
 use serde::{Deserialize, Serialize};
 
-/// A request to generate, `POST /generate`.
+/// A request to generate an answer, the body of `POST /generate`.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Generate {
-    /// Identifier of the request, echoed on each frame.
+    /// Identifier of the request, repeated in each frame.
     pub request_id: String,
-    /// Number of the attempt, echoed on each frame.
+    /// Number of the attempt, repeated in each frame.
     pub attempt: u64,
-    /// Version that must answer.
+    /// Model version that must serve the request.
     pub version: String,
-    /// The prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens already delivered, from which the engine resumes.
+    /// Tokens that were delivered already; the engine continues after them.
     pub resume: Vec<String>,
-    /// Most tokens of the whole answer.
+    /// Maximum number of tokens of the answer, the resumed ones included.
     pub max_tokens: u64,
-    /// Priority; higher runs first.
+    /// Scheduling priority; higher values run first.
     pub priority: i32,
 }
 
-/// A request to read on from a running generation (`POST /attach`) or to end it (`POST /cancel`).
+/// Reference to a generation, to read its stream (`POST /attach`) or to end it (`POST /cancel`).
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default)]
 pub struct Reference {
@@ -30,11 +30,11 @@
     pub request_id: String,
     /// Number of the attempt.
     pub attempt: u64,
-    /// Index of the first token to read.
+    /// Index of the first token to read; only used by `/attach`.
     pub from: u64,
 }
 
-/// A frame of a generation's stream, one JSON line each.
+/// A frame of a generation's stream, sent as one line of JSON.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Frame {
@@ -42,47 +42,47 @@
     pub request_id: String,
     /// Number of the attempt.
     pub attempt: u64,
-    /// Index of the token; of an end frame, the number of tokens of the whole answer.
+    /// Index of the token; in the end frame, the number of tokens of the complete answer.
     pub index: u64,
-    /// The token; absent on an end frame.
+    /// The token; absent in the end frame.
     pub token: Option<String>,
-    /// Why the generation ended: `stop` or `length`.
+    /// Why the generation ended, `stop` or `length`; only present in the end frame.
     pub end: Option<String>,
 }
 
-/// A load report, `GET /load`, as it was some time ago.
+/// A load report, `GET /load`; it lags by the configured delay.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Load {
-    /// Tokens held by all requests.
+    /// Tokens of prompts and outputs that all requests hold in memory.
     pub held_tokens: u64,
-    /// Memory in tokens.
+    /// Size of the engine's memory, in tokens.
     pub memory_tokens: u64,
-    /// Generations that run.
+    /// Number of running generations.
     pub running: u64,
-    /// Generations that wait.
+    /// Number of waiting generations.
     pub waiting: u64,
 }
 
-/// Counts for tests, `GET /control/stats`.
+/// Counters since the start, `GET /control/stats`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Stats {
-    /// Requests to generate that were taken.
+    /// Requests to generate that were accepted for a version that the engine serves.
     pub requests: u64,
-    /// Tokens generated.
+    /// Generated tokens.
     pub tokens: u64,
-    /// Most tokens held at once.
+    /// Highest number of tokens held in memory at once.
     pub held_peak: u64,
-    /// Prompt tokens found in the cache.
+    /// Prompt tokens that were found in the prefix cache.
     pub cached_tokens: u64,
     /// Prompt tokens of all requests.
     pub prompt_tokens: u64,
-    /// How often the memory was overrun.
+    /// How often the requests exceeded the memory.
     pub overruns: u64,
-    /// Milliseconds from the start of the engine to the last request taken.
+    /// Time from the start of the engine to the last accepted request, in milliseconds.
     pub last_request_ms: u64,
-    /// Generations running or waiting now.
+    /// Generations that are running or waiting now.
     pub live: u64,
-    /// Requests that met the faults `fail_every` or `slow_factor`.
+    /// Requests that the faults `fail_every` or `slow_factor` applied to.
     pub faulted: u64,
 }
--- a/standin/src/faults.rs
+++ b/standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that every stand-in shares: death, pauses, slowness and lost answers.
+//! Lifecycle and control endpoint that all stand-ins share: crashes, pauses and replacing faults.
 
 use std::process;
 use std::sync::Arc;
@@ -13,69 +13,69 @@
 
 use crate::http::{self, Abort, Body};
 
-/// Exit code of a stand-in process that died as its faults say.
-const DEATH_EXIT_CODE: i32 = 86;
+/// Exit code of a stand-in process that crashed because of an injected fault.
+const CRASH_EXIT_CODE: i32 = 86;
 
-/// What death means for a stand-in.
+/// What an injected crash ends.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum CrashScope {
-    /// The process ends.
+    /// The whole process.
     Process,
-    /// Only the stand-in's tasks end; for stand-ins embedded in another process.
+    /// Only the stand-in's tasks; for stand-ins embedded in another process.
     #[default]
     Tasks,
 }
 
-/// An order on the control endpoint `POST /control/process`.
+/// A command to the stand-in's process, the body of `POST /control/process`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Order {
-    /// Dies at once.
+pub struct Command {
+    /// Crashes the stand-in immediately.
     pub die: bool,
-    /// Pauses for this long, in milliseconds: nothing is read, computed or answered.
+    /// Duration of a pause, in milliseconds, in which only the control endpoint responds.
     pub pause_ms: Option<u64>,
 }
 
-/// The life of a stand-in: running, paused or dead.
+/// State of a stand-in's process: running, paused or crashed.
 #[derive(Clone, Debug)]
 pub struct Lifecycle {
     crash_scope: CrashScope,
-    stop: CancellationToken,
+    crash_token: CancellationToken,
     paused: Arc<watch::Sender<bool>>,
 }
 
 impl Lifecycle {
-    /// Returns the life of a stand-in that has just started.
+    /// Returns the lifecycle of a stand-in that has just started.
     #[must_use]
     pub fn new(crash_scope: CrashScope) -> Self {
         Self {
             crash_scope,
-            stop: CancellationToken::new(),
+            crash_token: CancellationToken::new(),
             paused: Arc::new(watch::Sender::new(false)),
         }
     }
 
-    /// Returns the token that is cancelled when the stand-in dies.
+    /// Returns the token that is cancelled when the stand-in crashes.
     #[must_use]
-    pub fn stop(&self) -> CancellationToken {
-        self.stop.clone()
+    pub fn crash_token(&self) -> CancellationToken {
+        self.crash_token.clone()
     }
 
-    /// Dies at once.
+    /// Crashes the stand-in immediately.
     pub fn crash(&self) {
-        self.stop.cancel();
+        self.crash_token.cancel();
         if self.crash_scope == CrashScope::Process {
-            process::exit(DEATH_EXIT_CODE);
+            process::exit(CRASH_EXIT_CODE);
         }
     }
 
-    /// Returns whether the stand-in has died.
+    /// Returns whether the stand-in has crashed.
     #[must_use]
     pub fn has_crashed(&self) -> bool {
-        self.stop.is_cancelled()
+        self.crash_token.is_cancelled()
     }
 
-    /// Pauses for `duration`.
+    /// Pauses the stand-in for `duration`.
     pub fn pause(&self, duration: Duration) {
         self.paused.send_replace(true);
         let paused = Arc::clone(&self.paused);
@@ -86,16 +86,16 @@
     }
 
     /// Waits until the stand-in is not paused.
-    pub async fn running(&self) {
+    pub async fn wait_while_paused(&self) {
         let mut paused = self.paused.subscribe();
         let _ = paused.wait_for(|paused| !paused).await;
     }
 
-    /// Answers the parts of the control endpoint that all stand-ins share: `faults` and `process`.
+    /// Handles the requests that every control endpoint accepts: `faults` and `process`.
     ///
     /// # Errors
     ///
-    /// Cuts the connection if the order was to die.
+    /// Aborts the connection if the command was to crash.
     pub async fn control<F: DeserializeOwned>(
         &self,
         path: &str,
@@ -111,24 +111,24 @@
                 None => Ok(http::problem(StatusCode::BAD_REQUEST, "faults expected")),
             },
             "process" => match http::read_json(request).await {
-                Some(order) => self.obey(order),
+                Some(command) => self.execute(command),
                 None => Ok(http::problem(StatusCode::BAD_REQUEST, "an order expected")),
             },
             _ => Ok(http::problem(StatusCode::NOT_FOUND, "no such control")),
         }
     }
 
-    /// Carries out an order of the control endpoint.
+    /// Executes a command of the control endpoint.
     ///
     /// # Errors
     ///
-    /// Cuts the connection if the order was to die.
-    pub fn obey(&self, order: Order) -> Result<Response<Body>, Abort> {
-        if order.die {
+    /// Aborts the connection if the command was to crash.
+    pub fn execute(&self, command: Command) -> Result<Response<Body>, Abort> {
+        if command.die {
             self.crash();
             return Err(Abort);
         }
-        if let Some(pause) = order.pause_ms {
+        if let Some(pause) = command.pause_ms {
             self.pause(Duration::from_millis(pause));
         }
         Ok(http::json(StatusCode::OK, &serde_json::json!({})))
--- a/standin/src/http.rs
+++ b/standin/src/http.rs
@@ -1,4 +1,5 @@
-//! A small HTTP server whose connections can be paused, cut and killed.
+//! HTTP server of the stand-ins, whose handlers can abort a connection without a response, and
+//! helpers to read requests and build responses.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -23,12 +24,12 @@
 /// Largest body that a stand-in reads, in bytes.
 const BODY_LIMIT: usize = 16 << 20;
 
-/// A body whose error cuts the connection.
+/// Response body; an error in it aborts the connection.
 pub type Body = UnsyncBoxBody<Bytes, Abort>;
 
-/// Cuts the connection without an answer.
+/// Error that makes the server close the connection without a (complete) response.
 #[derive(Clone, Copy, Debug, Snafu)]
-#[snafu(display("the stand-in cut the connection as its faults say"))]
+#[snafu(display("connection aborted by an injected fault"))]
 pub struct Abort;
 
 /// A running server.
@@ -40,7 +41,7 @@
 }
 
 impl Server {
-    /// Stops listening and drops every connection, as the death of the process would.
+    /// Stops listening and drops every connection, as a crash of the process does.
     pub fn kill(&self) {
         self.stop.cancel();
     }
@@ -51,7 +52,7 @@
     }
 }
 
-/// Starts a server on `address` that answers every request with `handler`.
+/// Starts a server on `address` that passes every request to `handler`, until `stop` is cancelled.
 ///
 /// # Errors
 ///
@@ -83,7 +84,7 @@
             () = stop.cancelled() => return,
             accepted = listener.accept() => {
                 if let Ok((stream, _)) = accepted {
-                    connections.spawn(connection(stream, handler.clone()));
+                    connections.spawn(serve_connection(stream, handler.clone()));
                 }
             }
             Some(_) = connections.join_next() => {}
@@ -92,7 +93,7 @@
 }
 
 /// Serves one connection.
-async fn connection<H, F>(stream: TcpStream, handler: H)
+async fn serve_connection<H, F>(stream: TcpStream, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
     F: Future<Output = Result<Response<Body>, Abort>> + Send + 'static,
@@ -104,8 +105,8 @@
         .await;
 }
 
-/// Returns the body of a request, or nothing if it is too large or cut off.
-pub async fn read(request: Request<Incoming>) -> Option<Bytes> {
+/// Reads the body of a request; returns `None` if it is too large or truncated.
+pub async fn read_body(request: Request<Incoming>) -> Option<Bytes> {
     let body = http_body_util::Limited::new(request.into_body(), BODY_LIMIT);
     body.collect()
         .await
@@ -113,13 +114,13 @@
         .map(http_body_util::Collected::to_bytes)
 }
 
-/// Returns the JSON body of a request, or nothing if it cannot be read as a `T`.
+/// Reads the JSON body of a request; returns `None` if it does not decode to a `T`.
 pub async fn read_json<T: DeserializeOwned>(request: Request<Incoming>) -> Option<T> {
-    let body = read(request).await?;
+    let body = read_body(request).await?;
     serde_json::from_slice(&body).ok()
 }
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(body));
@@ -131,20 +132,20 @@
     response
 }
 
-/// Returns a JSON answer that names what is wrong.
+/// Returns an error response, with the message in a JSON body.
 #[must_use]
 pub fn problem(status: StatusCode, error: &str) -> Response<Body> {
     json(status, &serde_json::json!({ "error": error }))
 }
 
-/// Returns a body that is whole.
+/// Returns a body with a known length.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never: Infallible| match never {})
         .boxed_unsync()
 }
 
-/// Returns a body that is streamed; an error in the stream cuts the connection.
+/// Returns a streamed body; an error in the stream aborts the connection.
 pub fn stream<S>(chunks: S) -> Body
 where
     S: Stream<Item = Result<Bytes, Abort>> + Send + 'static,
@@ -152,9 +153,9 @@
     StreamBody::new(chunks.map_ok(Frame::data)).boxed_unsync()
 }
 
-/// Returns the value of a query parameter; values are not percent-decoded.
+/// Returns the value of a query parameter, without percent-decoding.
 #[must_use]
-pub fn query<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
+pub fn query_parameter<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let query = request.uri().query()?;
     query
         .split('&')
--- a/standin/src/lib.rs
+++ b/standin/src/lib.rs
@@ -1,8 +1,9 @@
-//! Small stand-ins for what medlarfall meets outside itself: the platform, engines and services.
+//! Stand-ins for the external systems that medlarfall depends on: the platform, model engines and
+//! plain services.
 //!
-//! They speak the published protocols of those systems as this project assumes them (see
-//! `docs/INTERFACES.md`), take faults from flags and from a control endpoint, and run either as a
-//! process of their own or as tasks of another one.
+//! Each implements the HTTP protocol that `docs/INTERFACES.md` assumes for its system, and injects
+//! the faults that are set through its control endpoint. A stand-in runs as a process of its own or
+//! as tasks of another process.
 
 pub mod engine;
 pub mod faults;
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -1,4 +1,5 @@
-//! The stand-in platform: key-value service, leases, watches, instance list and weight store.
+//! Stand-in for the platform: key-value store with leases and watches, instance list and weight
+//! store.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -20,49 +21,50 @@
 pub use instances::Instance;
 pub use store::{Change, Item};
 
-/// Delay of a write that takes effect late.
+/// Delay after which a write that `late_writes` applies to takes effect.
 const LATE_WRITE_DELAY: Duration = Duration::from_millis(300);
 
-/// Longest wait of a watch, in milliseconds, where the caller names none.
+/// Timeout of a watch for which the caller gives none, in milliseconds.
 const WATCH_TIMEOUT_MS: u64 = 10_000;
 
 /// Prefix of the keys that hold declarations.
-const DECLARATIONS: &str = "declarations/";
+const DECLARATION_PREFIX: &str = "declarations/";
 
-/// Faults of the platform, set on `POST /control/faults`; each call replaces them all.
+/// Faults of the platform, the body of `POST /control/faults`; each call replaces all of them.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every call to the store is answered with 503.
+    /// Every call to the store gets status 503.
     pub down: bool,
-    /// Every call to the store is taken and never answered.
+    /// Every call to the store is accepted and never gets a response.
     pub hang: bool,
     /// Delay of every call to the store, in milliseconds.
     pub slow_ms: u64,
-    /// How many of the next writes take effect while their answer is lost.
+    /// Number of writes, from the next one on, that take effect but whose response is lost.
     pub drop_answers: u64,
-    /// Delay after a write took effect, before its answer, in milliseconds.
+    /// Delay between the effect of a write and its response, in milliseconds.
     pub answer_after_ms: u64,
-    /// How many of the next writes take effect only some time after their answer was lost.
+    /// Number of writes, from the next one on, whose response is lost and which take effect later.
     pub late_writes: u64,
-    /// How many of the next reads and lists return the state before the last change of each key.
+    /// Number of reads and lists, from the next one on, that return each key as it was before its last
+    /// change.
     pub stale_reads: u64,
-    /// Entries, by the header `medlarfall-caller`, whose calls are never answered.
+    /// Names of entries, as in the header `medlarfall-caller`, whose calls never get a response.
     pub cut_off: Vec<String>,
-    /// Every call to the instance list is answered with 503.
+    /// Every call to the instance list gets status 503.
     pub instances_down: bool,
 }
 
-/// How a platform is started.
+/// Configuration of a platform.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Delay after which a change of the instance list can be seen.
+    /// Delay after which a change of the instance list becomes visible.
     pub instances_lag: Duration,
-    /// Weight loads that the weight store allows each second.
+    /// Maximum rate of weight loads, per second.
     pub weight_loads_per_second: f64,
-    /// What death means.
+    /// What a crash ends.
     pub crash_scope: CrashScope,
 }
 
@@ -77,7 +79,7 @@
     }
 }
 
-/// Calls counted since the start.
+/// Counters since the start, `GET /control/stats`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 pub struct Stats {
     /// Reads, lists and watches.
@@ -86,7 +88,7 @@
     pub writes: u64,
     /// Reads of the instance list.
     pub instance_reads: u64,
-    /// Reads, lists and watches of declarations, which `reads` counts as well.
+    /// Reads, lists and watches of declarations; `reads` includes them.
     pub declaration_reads: u64,
 }
 
@@ -94,11 +96,11 @@
     /// Counts a read, list or watch of a key or prefix.
     fn count_read(&mut self, key: &str) {
         self.reads += 1;
-        self.declaration_reads += u64::from(key.starts_with(DECLARATIONS));
+        self.declaration_reads += u64::from(key.starts_with(DECLARATION_PREFIX));
     }
 }
 
-/// What the platform holds.
+/// Mutable state of a platform.
 #[derive(Debug)]
 struct State {
     store: store::Store,
@@ -137,9 +139,9 @@
         weight_interval: Duration::from_secs_f64(1.0 / config.weight_loads_per_second),
     };
     let handler = platform.clone();
-    let server = http::serve(config.listen, lifecycle.stop(), move |request| {
+    let server = http::serve(config.listen, lifecycle.crash_token(), move |request| {
         let platform = handler.clone();
-        async move { platform.answer(request).await }
+        async move { platform.handle(request).await }
     })
     .await?;
     Ok((platform, server))
@@ -151,18 +153,18 @@
         self.lock().faults = faults;
     }
 
-    /// Returns the calls counted since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.lock().stats
     }
 
-    /// Puts an instance on the list.
+    /// Adds an instance to the instance list, or replaces it.
     pub fn register(&self, instance: Instance) {
         self.lock().instances.put(instance);
     }
 
-    /// Returns the value under `key` as the store holds it now, past all faults.
+    /// Returns the current item under `key`, without applying faults.
     #[must_use]
     pub fn peek(&self, key: &str) -> Option<Item> {
         self.lock().store.get(key, Instant::now())
@@ -172,13 +174,13 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers one request.
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
+    /// Handles one HTTP request.
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let path = request.uri().path().to_owned();
         if let Some(control) = path.strip_prefix("/control/") {
             return self.control(control, request).await;
         }
-        self.lifecycle.running().await;
+        self.lifecycle.wait_while_paused().await;
         let faults = self.lock().faults.clone();
         let caller = request
             .headers()
@@ -186,7 +188,7 @@
             .and_then(|value| value.to_str().ok());
         let cut_off = caller.is_some_and(|caller| faults.cut_off.iter().any(|name| name == caller));
         if cut_off {
-            self.lifecycle.stop().cancelled().await;
+            self.lifecycle.crash_token().cancelled().await;
             return Err(Abort);
         }
         if let Some(name) = path.strip_prefix("/instances") {
@@ -199,7 +201,7 @@
             return Ok(self.instances(name.trim_start_matches('/'), request).await);
         }
         if faults.hang {
-            self.lifecycle.stop().cancelled().await;
+            self.lifecycle.crash_token().cancelled().await;
             return Err(Abort);
         }
         if faults.down {
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Answers a request on the control endpoint.
+    /// Handles a request to the control endpoint.
     async fn control(
         &self,
         path: &str,
--- a/standin/src/platform/handlers.rs
+++ b/standin/src/platform/handlers.rs
@@ -1,4 +1,4 @@
-//! Calls to the store, the weight store and the instance list.
+//! Handlers of the requests to the store, the weight store and the instance list.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use crate::http::{self, Abort, Body};
 
 impl Platform {
-    /// Answers a read, write or delete of one key.
+    /// Handles a read, write or delete of one key.
     pub(super) async fn kv(
         &self,
         key: &str,
@@ -21,9 +21,10 @@
         if method == Method::GET {
             return Ok(self.get(key));
         }
-        let expected = http::query(&request, "expected").and_then(|value| value.parse().ok());
-        let lease = http::query(&request, "lease").and_then(|value| value.parse().ok());
-        let Some(body) = http::read(request).await else {
+        let expected =
+            http::query_parameter(&request, "expected").and_then(|value| value.parse().ok());
+        let lease = http::query_parameter(&request, "lease").and_then(|value| value.parse().ok());
+        let Some(body) = http::read_body(request).await else {
             return Err(Abort);
         };
         let value = match method {
@@ -36,13 +37,13 @@
                 ));
             }
         };
-        let answer = self.write(key, value, expected, lease);
+        let response = self.write(key, value, expected, lease);
         let delay = self.lock().faults.answer_after_ms;
         tokio::time::sleep(Duration::from_millis(delay)).await;
-        answer
+        response
     }
 
-    /// Answers a read of one key.
+    /// Handles a read of one key.
     fn get(&self, key: &str) -> Response<Body> {
         let mut state = self.lock();
         state.stats.count_read(key);
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Carries out a compare-and-swap.
+    /// Handles a compare-and-swap, under the faults that drop or delay it.
     fn write(
         &self,
         key: &str,
@@ -80,7 +81,7 @@
         let written = state
             .store
             .write(key, value, expected, lease, Instant::now());
-        let answer = match written {
+        let response = match written {
             Ok(revision) => {
                 self.revision.send_replace(revision);
                 http::json(StatusCode::OK, &json!({ "revision": revision }))
@@ -97,10 +98,10 @@
             state.faults.drop_answers -= 1;
             return Err(Abort);
         }
-        Ok(answer)
+        Ok(response)
     }
 
-    /// Carries out a compare-and-swap some time after its answer was lost.
+    /// Applies a compare-and-swap after [`LATE_WRITE_DELAY`]; its response was dropped before.
     async fn write_late(
         self,
         key: String,
@@ -118,9 +119,9 @@
         }
     }
 
-    /// Answers a list of the keys with a prefix.
+    /// Handles a list of the items whose keys have a prefix.
     pub(super) fn list(&self, request: &Request<Incoming>) -> Response<Body> {
-        let prefix = http::query(request, "prefix").unwrap_or_default();
+        let prefix = http::query_parameter(request, "prefix").unwrap_or_default();
         let mut state = self.lock();
         state.stats.count_read(prefix);
         let outdated = state.faults.stale_reads > 0;
@@ -135,15 +136,16 @@
         )
     }
 
-    /// Answers a watch: the changes after a revision, or none after a timeout.
+    /// Handles a watch: waits for changes after a revision, and returns them or, after the timeout,
+    /// none.
     pub(super) async fn watch(&self, request: &Request<Incoming>) -> Response<Body> {
-        let prefix = http::query(request, "prefix")
+        let prefix = http::query_parameter(request, "prefix")
             .unwrap_or_default()
             .to_owned();
-        let after = http::query(request, "after")
+        let after = http::query_parameter(request, "after")
             .and_then(|value| value.parse().ok())
             .unwrap_or(0);
-        let timeout = http::query(request, "timeout_ms")
+        let timeout = http::query_parameter(request, "timeout_ms")
             .and_then(|value| value.parse().ok())
             .unwrap_or(WATCH_TIMEOUT_MS);
         let deadline = Instant::now() + Duration::from_millis(timeout);
@@ -151,38 +153,38 @@
         let mut revision = self.revision.subscribe();
         loop {
             revision.borrow_and_update();
-            let (changes, now) = {
+            let (changes, current_revision) = {
                 let mut state = self.lock();
-                state.store.expire(Instant::now());
+                state.store.expire_leases(Instant::now());
                 (state.store.changes(&prefix, after), state.store.revision())
             };
             let waiting = changes.is_empty() && Instant::now() < deadline;
             if !waiting {
                 return http::json(
                     StatusCode::OK,
-                    &json!({ "changes": changes, "revision": now }),
+                    &json!({ "changes": changes, "revision": current_revision }),
                 );
             }
             let _ = tokio::time::timeout_at(deadline, revision.changed()).await;
         }
     }
 
-    /// Answers a grant, renewal or end of a lease.
+    /// Handles the grant, renewal or revocation of a lease.
     pub(super) async fn lease(
         &self,
         path: &str,
         request: Request<Incoming>,
     ) -> Result<Response<Body>, Abort> {
         let method = request.method().clone();
-        let ttl = http::query(&request, "ttl_ms")
+        let ttl = http::query_parameter(&request, "ttl_ms")
             .and_then(|value| value.parse().ok())
             .unwrap_or(5_000);
-        let _ = http::read(request).await;
+        let _ = http::read_body(request).await;
         let mut state = self.lock();
         state.stats.writes += 1;
         let now = Instant::now();
         let lease = path.parse().ok();
-        let held = match (method, lease) {
+        let affected = match (method, lease) {
             (Method::POST, None) => Some(state.store.grant(Duration::from_millis(ttl), now)),
             (Method::POST, Some(lease)) => state.store.renew(lease, now).then_some(lease),
             (Method::DELETE, Some(lease)) => state.store.revoke(lease, now).then_some(lease),
@@ -193,13 +195,14 @@
             state.faults.drop_answers -= 1;
             return Err(Abort);
         }
-        match held {
+        match affected {
             Some(lease) => Ok(http::json(StatusCode::OK, &json!({ "lease": lease }))),
             None => Ok(http::problem(StatusCode::GONE, "no such lease")),
         }
     }
 
-    /// Answers a load of weights: refused over the rate.
+    /// Handles a weight load: delays it to keep the configured rate, and refuses it while the previous
+    /// load still has to wait longer than the interval between two loads.
     pub(super) async fn weights(&self) -> Response<Body> {
         let wait = {
             let mut state = self.lock();
@@ -217,13 +220,13 @@
         http::json(StatusCode::OK, &json!({}))
     }
 
-    /// Answers a read or change of the instance list.
+    /// Handles a read or change of the instance list.
     pub(super) async fn instances(&self, name: &str, request: Request<Incoming>) -> Response<Body> {
         match *request.method() {
             Method::GET => {
                 let mut state = self.lock();
                 state.stats.instance_reads += 1;
-                let list = state.instances.seen(Instant::now());
+                let list = state.instances.visible(Instant::now());
                 http::json(StatusCode::OK, &list)
             }
             Method::PUT => match http::read_json::<Instance>(request).await {
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The key-value store: compare-and-swap, leases and the changes that watches return.
+//! Key-value store with compare-and-swap, leases and a history of changes for watches.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,55 +6,56 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::Instant;
 
-/// Largest value, in bytes.
+/// Maximum size of a value, in bytes.
 const VALUE_LIMIT: usize = 1 << 20;
 
-/// Most changes kept for watches; a watch that asks for older ones gets the newest value of each.
-const CHANGES_KEPT: usize = 100_000;
+/// Maximum number of changes kept for watches; beyond it the older half is dropped, and a watch from
+/// an older revision misses those changes.
+const CHANGE_LIMIT: usize = 100_000;
 
-/// A value under a key.
+/// A key with its value.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Item {
     /// The key.
     pub key: String,
     /// The value.
     pub value: String,
-    /// Revision of the store at which the value was written.
+    /// Revision of the store that wrote the value.
     pub revision: u64,
 }
 
-/// A change of one key; no value means that the key was deleted.
+/// A change of one key.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Change {
     /// The key.
     pub key: String,
-    /// The new value.
+    /// The new value, or `None` if the key was deleted.
     pub value: Option<String>,
-    /// Revision of the store that the change made.
+    /// Revision of the store that the change produced.
     pub revision: u64,
 }
 
 /// Why a write was refused.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Refusal {
-    /// Another revision was expected; holds the current item.
+    /// The key's revision is not the expected one; contains the current item.
     Conflict(Option<Item>),
-    /// The lease has ended or never was.
+    /// The lease has ended or was never granted.
     NoSuchLease,
-    /// The value is too large.
+    /// The value exceeds the size limit.
     TooLarge,
 }
 
-/// A lease.
+/// A lease, at whose end the keys written with it are deleted.
 #[derive(Debug)]
 struct Lease {
     ttl: Duration,
     expires: Instant,
 }
 
-/// A value with its lease.
+/// A stored value, with the lease that it depends on.
 #[derive(Clone, Debug)]
-struct Held {
+struct StoredValue {
     value: String,
     revision: u64,
     lease: Option<u64>,
@@ -64,8 +65,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Store {
     revision: u64,
-    items: BTreeMap<String, Held>,
-    previous: BTreeMap<String, Option<Held>>,
+    items: BTreeMap<String, StoredValue>,
+    previous: BTreeMap<String, Option<StoredValue>>,
     changes: Vec<Change>,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
@@ -79,22 +80,22 @@
 
     /// Returns the item under `key`.
     pub(super) fn get(&mut self, key: &str, now: Instant) -> Option<Item> {
-        self.expire(now);
-        self.items.get(key).map(|held| item(key, held))
+        self.expire_leases(now);
+        self.items.get(key).map(|stored| to_item(key, stored))
     }
 
-    /// Returns the item that stood under `key` before its last change.
+    /// Returns the item under `key` before the last change of the key.
     pub(super) fn get_stale(&self, key: &str) -> Option<Item> {
-        let held = match self.previous.get(key) {
+        let stored = match self.previous.get(key) {
             Some(previous) => previous.as_ref(),
             None => self.items.get(key),
         };
-        held.map(|held| item(key, held))
+        stored.map(|stored| to_item(key, stored))
     }
 
-    /// Returns the items whose keys start with `prefix`, as they are or as they were.
+    /// Returns the items whose keys start with `prefix`; with `stale`, as before their last change.
     pub(super) fn list(&mut self, prefix: &str, stale: bool, now: Instant) -> Vec<Item> {
-        self.expire(now);
+        self.expire_leases(now);
         let keys: Vec<&String> = self
             .items
             .keys()
@@ -105,12 +106,12 @@
                 if stale {
                     return self.get_stale(key);
                 }
-                self.items.get(key).map(|held| item(key, held))
+                self.items.get(key).map(|stored| to_item(key, stored))
             })
             .collect()
     }
 
-    /// Returns the changes of keys with `prefix` after revision `after`.
+    /// Returns the changes after revision `after` of the keys that start with `prefix`.
     pub(super) fn changes(&self, prefix: &str, after: u64) -> Vec<Change> {
         let start = self
             .changes
@@ -122,7 +123,9 @@
             .collect()
     }
 
-    /// Writes or deletes `key` if its revision is the expected one; 0 expects no value.
+    /// Writes or, without a value, deletes `key` if its revision is `expected`.
+    ///
+    /// An expected revision of 0 requires that the key does not exist; `None` accepts any revision.
     pub(super) fn write(
         &mut self,
         key: &str,
@@ -131,7 +134,7 @@
         lease: Option<u64>,
         now: Instant,
     ) -> Result<u64, Refusal> {
-        self.expire(now);
+        self.expire_leases(now);
         if value
             .as_ref()
             .is_some_and(|value| value.len() > VALUE_LIMIT)
@@ -142,14 +145,16 @@
             return Err(Refusal::NoSuchLease);
         }
         let current = self.items.get(key);
-        let revision = current.map_or(0, |held| held.revision);
+        let revision = current.map_or(0, |stored| stored.revision);
         if expected.is_some_and(|expected| expected != revision) {
-            return Err(Refusal::Conflict(current.map(|held| item(key, held))));
+            return Err(Refusal::Conflict(
+                current.map(|stored| to_item(key, stored)),
+            ));
         }
-        Ok(self.put(key, value, lease))
+        Ok(self.apply(key, value, lease))
     }
 
-    /// Grants a lease that lasts `ttl` unless it is renewed.
+    /// Grants a lease that expires after `ttl` unless it is renewed.
     pub(super) fn grant(&mut self, ttl: Duration, now: Instant) -> u64 {
         self.next_lease += 1;
         let expires = now + ttl;
@@ -157,9 +162,9 @@
         self.next_lease
     }
 
-    /// Renews a lease; returns whether it was still held.
+    /// Renews a lease; returns whether it was still valid.
     pub(super) fn renew(&mut self, lease: u64, now: Instant) -> bool {
-        self.expire(now);
+        self.expire_leases(now);
         match self.leases.get_mut(&lease) {
             Some(lease) => {
                 lease.expires = now + lease.ttl;
@@ -169,45 +174,46 @@
         }
     }
 
-    /// Ends a lease; returns whether it was still held.
+    /// Ends a lease; returns whether it was still valid.
     pub(super) fn revoke(&mut self, lease: u64, now: Instant) -> bool {
-        let held = self.renew(lease, now);
+        let valid = self.renew(lease, now);
         if let Some(lease) = self.leases.get_mut(&lease) {
             lease.expires = now;
         }
-        self.expire(now);
-        held
+        self.expire_leases(now);
+        valid
     }
 
-    /// Ends the leases that have run out and deletes what they held.
-    pub(super) fn expire(&mut self, now: Instant) {
-        let held = self.leases.len();
+    /// Removes the expired leases and deletes the keys that were written with them.
+    pub(super) fn expire_leases(&mut self, now: Instant) {
+        let count = self.leases.len();
         self.leases.retain(|_, lease| lease.expires > now);
-        if self.leases.len() == held {
+        if self.leases.len() == count {
             return;
         }
-        let lapsed: Vec<String> = self
+        let expired_keys: Vec<String> = self
             .items
             .iter()
-            .filter(|(_, held)| {
-                held.lease
+            .filter(|(_, stored)| {
+                stored
+                    .lease
                     .is_some_and(|lease| !self.leases.contains_key(&lease))
             })
             .map(|(key, _)| key.clone())
             .collect();
-        for key in lapsed {
-            self.put(&key, None, None);
+        for key in expired_keys {
+            self.apply(&key, None, None);
         }
     }
 
-    /// Records a change and returns its revision.
-    fn put(&mut self, key: &str, value: Option<String>, lease: Option<u64>) -> u64 {
+    /// Applies a change, records it for watches and returns its revision.
+    fn apply(&mut self, key: &str, value: Option<String>, lease: Option<u64>) -> u64 {
         self.revision += 1;
         let revision = self.revision;
         let previous = match &value {
             Some(value) => self.items.insert(
                 key.to_owned(),
-                Held {
+                StoredValue {
                     value: value.clone(),
                     revision,
                     lease,
@@ -221,18 +227,18 @@
             value,
             revision,
         });
-        if self.changes.len() > CHANGES_KEPT {
-            self.changes.drain(..CHANGES_KEPT / 2);
+        if self.changes.len() > CHANGE_LIMIT {
+            self.changes.drain(..CHANGE_LIMIT / 2);
         }
         revision
     }
 }
 
-/// Returns the item that a held value stands for.
-fn item(key: &str, held: &Held) -> Item {
+/// Returns the item of a key and its stored value.
+fn to_item(key: &str, stored: &StoredValue) -> Item {
     Item {
         key: key.to_owned(),
-        value: held.value.clone(),
-        revision: held.revision,
+        value: stored.value.clone(),
+        revision: stored.revision,
     }
 }
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -1,4 +1,7 @@
-//! The stand-in plain service: records that are read and actions that are counted.
+//! Stand-in for a plain service.
+//!
+//! A GET returns a record that is derived from the path. Every other method runs an action, which
+//! the request body names, and the service counts how often each action ran.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,57 +17,57 @@
 use crate::http::{self, Abort, Body, Server};
 use crate::oracle;
 
-/// Header that carries the request's identifier, echoed on the answer.
+/// Header with the identifier of the request, repeated in the response.
 pub const REQUEST_ID: &str = "medlarfall-request-id";
 
-/// Header that carries the number of the attempt, echoed on the answer.
+/// Header with the number of the attempt, repeated in the response.
 pub const ATTEMPT: &str = "medlarfall-attempt";
 
-/// Faults of the service, set on `POST /control/faults`; each call replaces them all.
+/// Faults of the service, the body of `POST /control/faults`; each call replaces all of them.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// How many of the next actions run while their answer is lost.
+    /// Number of actions, from the next one on, that run but whose response is lost.
     pub drop_answers: u64,
-    /// How many of the next answers carry another request's identifier.
+    /// Number of responses, from the next one on, that carry another request's identifier.
     pub cross_answers: u64,
-    /// How many of the next requests are refused with 503 before they run.
+    /// Number of requests, from the next one on, that are refused with status 503 before they run.
     pub refuse: u64,
-    /// Delay before each action runs, in milliseconds.
+    /// Delay before a request runs, in milliseconds.
     pub slow_ms: u64,
-    /// Delay after each action ran, before its answer, in milliseconds.
+    /// Delay between the run of an action and its response, in milliseconds.
     pub answer_after_ms: u64,
-    /// Bytes that pad each action's answer.
+    /// Size of the padding in the response of an action, in bytes.
     pub answer_bytes: usize,
-    /// The delay `slow_ms` meets only every n-th request; 0 and 1 for each.
+    /// The delay `slow_ms` applies to every n-th request; 0 and 1 mean each request.
     pub slow_every: u64,
-    /// Path prefix that alone fails with 500 before it runs; empty for none.
+    /// Requests whose path has this prefix fail with status 500 before they run; empty for none.
     pub fail_path: String,
-    /// Every n-th request fails with 500 before it runs; 0 for none.
+    /// Every n-th request fails with status 500 before it runs; 0 lets none fail.
     pub fail_every: u64,
-    /// The faults `slow_ms`, `fail_path` and `fail_every` apply only after this many requests.
+    /// Number of requests after which `slow_ms`, `fail_path` and `fail_every` start to apply.
     pub after_requests: u64,
 }
 
-/// Counts for tests, `GET /control/stats`.
+/// Counters since the start, `GET /control/stats`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Stats {
-    /// Requests taken.
+    /// Received requests.
     pub requests: u64,
-    /// Requests that met the faults `slow_ms`, `fail_path` or `fail_every`.
+    /// Requests that the faults `slow_ms`, `fail_path` or `fail_every` applied to.
     pub faulted: u64,
 }
 
-/// How a service is started.
+/// Configuration of a service.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Address to listen on.
     pub listen: SocketAddr,
     /// Version that the service runs.
     pub version: String,
-    /// Time that each request takes.
+    /// Processing time of each request.
     pub work: Duration,
-    /// What death means.
+    /// What a crash ends.
     pub crash_scope: CrashScope,
 }
 
@@ -79,22 +82,22 @@
     }
 }
 
-/// What the service holds.
+/// Mutable state of a service.
 #[derive(Debug, Default)]
 struct State {
     faults: Faults,
     stats: Stats,
-    runs: BTreeMap<String, u64>,
-    ran: BTreeSet<String>,
+    run_counts: BTreeMap<String, u64>,
+    executed_requests: BTreeSet<String>,
     forwarded_headers: BTreeMap<String, ForwardedHeaders>,
 }
 
-/// What came with an action beside its body.
+/// Headers of the last request of an action; a missing header is empty.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ForwardedHeaders {
-    /// Header `traceparent`.
+    /// Value of `traceparent`.
     pub traceparent: String,
-    /// Header `medlarfall-timeout-ms`.
+    /// Value of `medlarfall-timeout-ms`.
     pub timeout_ms: String,
 }
 
@@ -120,15 +123,15 @@
         lifecycle: lifecycle.clone(),
     };
     let handler = service.clone();
-    let server = http::serve(listen, lifecycle.stop(), move |request| {
+    let server = http::serve(listen, lifecycle.crash_token(), move |request| {
         let service = handler.clone();
-        async move { service.answer(request).await }
+        async move { service.handle(request).await }
     })
     .await?;
     Ok((service, server))
 }
 
-/// Returns the record that the service holds under `path`.
+/// Returns the record that the service returns for `path`.
 #[must_use]
 pub fn record(path: &str) -> String {
     (0..8)
@@ -145,28 +148,28 @@
     /// Returns how often each action ran, by the action's name in the request body.
     #[must_use]
     pub fn run_counts(&self) -> BTreeMap<String, u64> {
-        self.lock().runs.clone()
+        self.lock().run_counts.clone()
     }
 
-    /// Returns the identifiers of the requests whose actions ran.
+    /// Returns the identifiers of the requests whose action ran.
     #[must_use]
     pub fn executed_requests(&self) -> BTreeSet<String> {
-        self.lock().ran.clone()
+        self.lock().executed_requests.clone()
     }
 
-    /// Returns what came with the last call of an action.
+    /// Returns the headers of the last request of `action`, if there was one.
     #[must_use]
     pub fn forwarded_headers(&self, action: &str) -> Option<ForwardedHeaders> {
         self.lock().forwarded_headers.get(action).cloned()
     }
 
-    /// Returns the counts since the start.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn stats(&self) -> Stats {
         self.lock().stats
     }
 
-    /// Returns the life of the service, which can be paused and ended.
+    /// Returns the lifecycle, through which the service can be paused or crashed.
     #[must_use]
     pub fn lifecycle(&self) -> &Lifecycle {
         &self.lifecycle
@@ -176,27 +179,31 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Answers one request.
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
+    /// Handles one HTTP request.
+    async fn handle(&self, request: Request<Incoming>) -> Result<Response<Body>, Abort> {
         let path = request.uri().path().to_owned();
         if let Some(control) = path.strip_prefix("/control/") {
             return self.control(control, request).await;
         }
-        self.lifecycle.running().await;
-        let (fails, delay) = self.meet(&path);
+        self.lifecycle.wait_while_paused().await;
+        let (fails, delay) = self.count_request(&path);
         tokio::time::sleep(self.config.work + delay).await;
-        self.lifecycle.running().await;
+        self.lifecycle.wait_while_paused().await;
         let request_id = header(&request, REQUEST_ID);
         let attempt = header(&request, ATTEMPT);
         if let Some(response) = self.refusal(fails) {
             return Ok(echo(response, &request_id, &attempt));
         }
         let response = self.respond(&path, request).await?;
-        Ok(echo(response, &self.crossed(request_id), &attempt))
+        Ok(echo(
+            response,
+            &self.response_request_id(request_id),
+            &attempt,
+        ))
     }
 
-    /// Counts a request; returns whether it fails, and how much longer it takes.
-    fn meet(&self, path: &str) -> (bool, Duration) {
+    /// Counts a request; returns whether the faults let it fail, and by how much they delay it.
+    fn count_request(&self, path: &str) -> (bool, Duration) {
         let mut state = self.lock();
         state.stats.requests += 1;
         let count = state.stats.requests;
@@ -204,16 +211,16 @@
         if count <= faults.after_requests {
             return (false, Duration::ZERO);
         }
-        let on_path = !faults.fail_path.is_empty() && path.starts_with(&faults.fail_path);
-        let in_turn = faults.fail_every > 0 && count.is_multiple_of(faults.fail_every);
-        let fails = on_path || in_turn;
+        let path_fails = !faults.fail_path.is_empty() && path.starts_with(&faults.fail_path);
+        let turn_fails = faults.fail_every > 0 && count.is_multiple_of(faults.fail_every);
+        let fails = path_fails || turn_fails;
         let slow = faults.slow_ms > 0 && count.is_multiple_of(faults.slow_every.max(1));
         let delay = Duration::from_millis(if slow { faults.slow_ms } else { 0 });
         state.stats.faulted += u64::from(fails || slow);
         (fails, delay)
     }
 
-    /// Returns the refusal that the faults ask for.
+    /// Returns an error response if the faults refuse the request or, with `fails`, let it fail.
     fn refusal(&self, fails: bool) -> Option<Response<Body>> {
         let mut state = self.lock();
         if state.faults.refuse > 0 {
@@ -229,7 +236,7 @@
         fails.then(|| http::problem(StatusCode::INTERNAL_SERVER_ERROR, "this route fails"))
     }
 
-    /// Reads a record, or runs an action and counts it.
+    /// Returns a record, or runs an action and returns its response.
     async fn respond(
         &self,
         path: &str,
@@ -248,7 +255,7 @@
             traceparent: header(&request, "traceparent"),
             timeout_ms: header(&request, "medlarfall-timeout-ms"),
         };
-        let Some(body) = http::read(request).await else {
+        let Some(body) = http::read_body(request).await else {
             return Err(Abort);
         };
         let action = String::from_utf8_lossy(&body).into_owned();
@@ -257,7 +264,7 @@
             .insert(action.clone(), forwarded_headers);
         let (runs, faults) = self.run(&action, request_id)?;
         tokio::time::sleep(Duration::from_millis(faults.answer_after_ms)).await;
-        self.lifecycle.running().await;
+        self.lifecycle.wait_while_paused().await;
         let padding = ".".repeat(faults.answer_bytes);
         let mut answer =
             json!({ "action": action, "path": path, "runs": runs, "version": version });
@@ -267,11 +274,15 @@
         Ok(http::json(StatusCode::OK, &answer))
     }
 
-    /// Runs an action; returns how often it has run, or loses the answer as the faults say.
+    /// Counts a run of an action; returns its number of runs and the faults.
+    ///
+    /// # Errors
+    ///
+    /// Aborts the connection, after the action ran, if the faults drop the response.
     fn run(&self, action: &str, request_id: String) -> Result<(u64, Faults), Abort> {
         let mut state = self.lock();
-        state.ran.insert(request_id);
-        let runs = state.runs.entry(action.to_owned()).or_default();
+        state.executed_requests.insert(request_id);
+        let runs = state.run_counts.entry(action.to_owned()).or_default();
         *runs += 1;
         let runs = *runs;
         if state.faults.drop_answers > 0 {
@@ -281,8 +292,8 @@
         Ok((runs, state.faults.clone()))
     }
 
-    /// Returns the identifier to echo: the request's, or another's if the faults ask for it.
-    fn crossed(&self, request_id: String) -> String {
+    /// Returns the identifier for the response, which `cross_answers` replaces by another one.
+    fn response_request_id(&self, request_id: String) -> String {
         let mut state = self.lock();
         if state.faults.cross_answers == 0 {
             return request_id;
@@ -291,7 +302,7 @@
         format!("{request_id}-other")
     }
 
-    /// Answers a request on the control endpoint.
+    /// Handles a request to the control endpoint.
     async fn control(
         &self,
         path: &str,
@@ -309,7 +320,7 @@
     }
 }
 
-/// Returns a header's value, or nothing.
+/// Returns the value of a header, or an empty string if it is missing or not text.
 fn header(request: &Request<Incoming>, name: &str) -> String {
     let value = request
         .headers()
@@ -318,7 +329,7 @@
     value.unwrap_or_default().to_owned()
 }
 
-/// Echoes the request's identifier and attempt on the answer.
+/// Sets the headers of the request identifier and the attempt in a response.
 fn echo(mut response: Response<Body>, request_id: &str, attempt: &str) -> Response<Body> {
     for (name, value) in [(REQUEST_ID, request_id), (ATTEMPT, attempt)] {
         if let Ok(value) = value.parse() {
