--- a/schema-gen/src/main.rs
+++ b/schema-gen/src/main.rs
@@ -1,25 +1,28 @@
 //! Generates the Rust code of `medlarfall-schema` from its `.proto` files.
 //!
-//! `cargo run -p medlarfall-schema-gen` writes the code;
-//! `cargo run -p medlarfall-schema-gen -- --check` fails if the committed code is not current.
+//! `cargo run -p medlarfall-schema-gen` writes the code.
+//! `cargo run -p medlarfall-schema-gen -- --check` compares it with the committed code, and fails
+//! if they differ.
 
 use std::error::Error;
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// `.proto` files of the schema, relative to its folder.
-const PROTOS: [&str; 3] = ["declaration.proto", "operator.proto", "settings.proto"];
+/// `.proto` files of the schema, relative to `schema/proto`.
+const PROTO_FILES: [&str; 3] = ["declaration.proto", "operator.proto", "settings.proto"];
 
-/// Attributes of the settings, which are read from TOML that a person wrote.
-const STRICT: &str =
+/// Attributes of the settings. They are read from hand-written TOML, so unknown fields are errors.
+const SETTINGS_ATTRIBUTES: &str =
     "#[derive(serde::Deserialize, serde::Serialize)] #[serde(default, deny_unknown_fields)]";
 
-/// Attributes of the declarations, which entries of different releases read from the store.
-const LENIENT: &str = "#[derive(serde::Deserialize, serde::Serialize)] #[serde(default)]";
+/// Attributes of the declarations. Entries of different releases read them from the store, so
+/// unknown fields are ignored.
+const DECLARATION_ATTRIBUTES: &str =
+    "#[derive(serde::Deserialize, serde::Serialize)] #[serde(default)]";
 
-/// Attribute of the field that is written as a word.
-const KIND: &str = "#[serde(with = \"crate::kind\")]";
+/// Attribute of `Service.kind`, which is serialized as a name.
+const KIND_ATTRIBUTE: &str = "#[serde(with = \"crate::kind\")]";
 
 fn main() -> ExitCode {
     let check = std::env::args().any(|argument| argument == "--check");
@@ -32,42 +35,42 @@
     }
 }
 
-/// Generates the code, or compares it with the committed code.
+/// Generates the code or, with `check`, compares it with the committed code.
 fn run(check: bool) -> Result<(), Box<dyn Error>> {
     let schema = Path::new(env!("CARGO_MANIFEST_DIR")).join("../schema");
-    let committed = schema.join("src/generated");
+    let committed_dir = schema.join("src/generated");
     if !check {
-        return generate(&schema, &committed);
+        return generate(&schema, &committed_dir);
     }
-    let fresh = std::env::temp_dir().join(format!("medlarfall-schema-{}", std::process::id()));
-    fs::create_dir_all(&fresh)?;
-    let result = generate(&schema, &fresh).and_then(|()| compare(&fresh, &committed));
-    fs::remove_dir_all(&fresh)?;
+    let fresh_dir = std::env::temp_dir().join(format!("medlarfall-schema-{}", std::process::id()));
+    fs::create_dir_all(&fresh_dir)?;
+    let result = generate(&schema, &fresh_dir).and_then(|()| compare(&fresh_dir, &committed_dir));
+    fs::remove_dir_all(&fresh_dir)?;
     result
 }
 
-/// Writes the generated code into `out`.
-fn generate(schema: &Path, out: &Path) -> Result<(), Box<dyn Error>> {
-    let descriptors = protox::compile(PROTOS, [schema.join("proto")])?;
+/// Generates the code into the folder `out_dir`.
+fn generate(schema: &Path, out_dir: &Path) -> Result<(), Box<dyn Error>> {
+    let descriptors = protox::compile(PROTO_FILES, [schema.join("proto")])?;
     tonic_prost_build::configure()
-        .out_dir(out)
+        .out_dir(out_dir)
         .emit_rerun_if_changed(false)
-        .message_attribute(".medlarfall.settings", STRICT)
-        .message_attribute(".medlarfall.declaration", LENIENT)
-        .field_attribute(".medlarfall.declaration.Service.kind", KIND)
+        .message_attribute(".medlarfall.settings", SETTINGS_ATTRIBUTES)
+        .message_attribute(".medlarfall.declaration", DECLARATION_ATTRIBUTES)
+        .field_attribute(".medlarfall.declaration.Service.kind", KIND_ATTRIBUTE)
         .compile_fds(descriptors)?;
     Ok(())
 }
 
-/// Fails if a file in `fresh` differs from the file of that name in `committed`.
-fn compare(fresh: &Path, committed: &Path) -> Result<(), Box<dyn Error>> {
-    for entry in fs::read_dir(fresh)? {
+/// Returns an error if a file in `fresh_dir` differs from the file of that name in `committed_dir`.
+fn compare(fresh_dir: &Path, committed_dir: &Path) -> Result<(), Box<dyn Error>> {
+    for entry in fs::read_dir(fresh_dir)? {
         let path = entry?.path();
-        let twin: PathBuf = committed.join(path.file_name().unwrap_or_default());
-        if fs::read(&path)? != fs::read(&twin).unwrap_or_default() {
+        let committed: PathBuf = committed_dir.join(path.file_name().unwrap_or_default());
+        if fs::read(&path)? != fs::read(&committed).unwrap_or_default() {
             return Err(format!(
-                "{} is not current: run `cargo run -p medlarfall-schema-gen` and commit the result",
-                twin.display()
+                "{} is outdated: run `cargo run -p medlarfall-schema-gen` and commit the result",
+                committed.display()
             )
             .into());
         }
--- a/schema/src/lib.rs
+++ b/schema/src/lib.rs
@@ -1,23 +1,23 @@
-//! Messages and settings of medlarfall.
+//! Protobuf messages of medlarfall: settings, declarations and the gRPC interface for operators.
 //!
-//! The code is generated from the `.proto` files in `schema/proto` by `medlarfall-schema-gen` and
-//! committed, so that a build needs no generator.
+//! `medlarfall-schema-gen` generates the code from the `.proto` files in `schema/proto`. The
+//! generated code is committed, so that a build does not run the generator.
 
 mod kind;
 
-/// Settings of an entry instance.
+/// Settings of an entry instance, read from TOML.
 #[allow(clippy::pedantic, missing_docs)]
 pub mod settings {
     include!("generated/medlarfall.settings.rs");
 }
 
-/// Declarations of operators.
+/// Services and planned stops that operators declare, as stored on the platform.
 #[allow(clippy::pedantic, missing_docs)]
 pub mod declaration {
     include!("generated/medlarfall.declaration.rs");
 }
 
-/// Remote procedure calls for operators.
+/// gRPC interface for operators.
 #[allow(clippy::pedantic, missing_docs)]
 pub mod operator {
     include!("generated/medlarfall.operator.rs");
