--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -46,8 +46,8 @@
     pub answer_after_ms: u64,
     /// Number of writes, from the next one on, whose response is lost and which take effect later.
     pub late_writes: u64,
-    /// Number of reads and lists, from the next one on, that return each key as it was before its last
-    /// change.
+    /// Number of reads and lists, from the next one on, that return each key as it was before its
+    /// last change.
     pub stale_reads: u64,
     /// Names of entries, as in the header `medlarfall-caller`, whose calls never get a response.
     pub cut_off: Vec<String>,
--- a/standin/src/platform/handlers.rs
+++ b/standin/src/platform/handlers.rs
@@ -201,8 +201,8 @@
         }
     }
 
-    /// Handles a weight load: delays it to keep the configured rate, and refuses it while the previous
-    /// load still has to wait longer than the interval between two loads.
+    /// Handles a weight load: delays it to keep the configured rate, and refuses it while the
+    /// previous load still has to wait longer than the interval between two loads.
     pub(super) async fn weights(&self) -> Response<Body> {
         let wait = {
             let mut state = self.lock();
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -9,8 +9,8 @@
 /// Maximum size of a value, in bytes.
 const VALUE_LIMIT: usize = 1 << 20;
 
-/// Maximum number of changes kept for watches; beyond it the older half is dropped, and a watch from
-/// an older revision misses those changes.
+/// Maximum number of changes kept for watches; beyond it the older half is dropped, and a watch
+/// from an older revision misses those changes.
 const CHANGE_LIMIT: usize = 100_000;
 
 /// A key with its value.
