--- a/programs/src/bench/at_most_once.rs
+++ b/programs/src/bench/at_most_once.rs
@@ -270,7 +270,7 @@
     let ran: BTreeSet<String> = cluster
         .services
         .iter()
-        .flat_map(|instance| instance.service.ran())
+        .flat_map(|instance| instance.service.executed_requests())
         .collect();
     for outcome in outcomes {
         let runs = count_runs(cluster, &outcome.name);
@@ -292,7 +292,7 @@
     cluster
         .services
         .iter()
-        .filter_map(|instance| instance.service.runs().get(name).copied())
+        .filter_map(|instance| instance.service.run_counts().get(name).copied())
         .sum()
 }
 
--- a/programs/src/bench/moves.rs
+++ b/programs/src/bench/moves.rs
@@ -180,7 +180,7 @@
     if case.dies
         && let Some(instance) = cluster.services.last()
     {
-        instance.service.life().die();
+        instance.service.lifecycle().crash();
     }
     let (end, observation) = tokio::join!(
         watch(&cluster, service, &started.move_id),
--- a/programs/src/bench/resume/faults.rs
+++ b/programs/src/bench/resume/faults.rs
@@ -125,7 +125,7 @@
         let engine = &self.cluster.engines[index];
         let server = Arc::from(engine.instance.name.as_str());
         let at = Instant::now();
-        engine.engine.life().die();
+        engine.engine.lifecycle().crash();
         self.faults.push(Fault::Engine { at, server });
         let mut leaving_instance = engine.instance.clone();
         leaving_instance.leaving = true;
@@ -152,7 +152,7 @@
         let engine = &self.cluster.engines[index];
         let server = Arc::from(engine.instance.name.as_str());
         let at = Instant::now();
-        engine.engine.life().pause(ENGINE_PAUSE);
+        engine.engine.lifecycle().pause(ENGINE_PAUSE);
         self.paused[index] = Some(at);
         self.faults.push(Fault::Engine { at, server });
     }
@@ -175,7 +175,11 @@
         let eligible = |index: &usize| {
             let paused =
                 self.paused[*index].is_some_and(|since| since.elapsed() < 2 * ENGINE_PAUSE);
-            !paused && !self.cluster.engines[*index].engine.life().dead()
+            !paused
+                && !self.cluster.engines[*index]
+                    .engine
+                    .lifecycle()
+                    .has_crashed()
         };
         let candidates: Vec<usize> = (0..self.paused.len()).filter(eligible).collect();
         let last = candidates.len().checked_sub(1)?;
@@ -191,7 +195,7 @@
             .cluster
             .engines
             .iter()
-            .filter(|engine| !engine.engine.life().dead())
+            .filter(|engine| !engine.engine.lifecycle().has_crashed())
             .filter_map(|engine| serde_json::to_value(&engine.instance).ok())
             .filter_map(|json| serde_json::from_value::<Instance>(json).ok())
             .filter_map(|instance| Server::try_from(instance).ok());
--- a/programs/src/demo.rs
+++ b/programs/src/demo.rs
@@ -67,7 +67,7 @@
     let dead = cluster
         .engines
         .iter()
-        .filter(|engine| engine.engine.life().dead())
+        .filter(|engine| engine.engine.lifecycle().has_crashed())
         .count();
     println!(
         "generation: {} in {} ms; engines that died meanwhile: {dead}; longest pause between tokens: {} ms",
@@ -101,7 +101,7 @@
             action,
         )
         .await?;
-    let runs = cluster.services[0].service.runs();
+    let runs = cluster.services[0].service.run_counts();
     println!("non-idempotent call: {} {}", assigned.status, assigned.body);
     if runs.get(action) != Some(&1) {
         return Err("the non-idempotent call did not run exactly once".into());
--- a/programs/tests/generations.rs
+++ b/programs/tests/generations.rs
@@ -81,7 +81,7 @@
     let cluster = cluster(short_answer_timeout).await;
     let mut answer = start_generation(&cluster, "none");
     read_tokens(&mut answer, TOKENS_BEFORE_FAULT).await;
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let error = answer.finish().await.expect_err("an error");
     let Error::Refused { body, .. } = error else {
         panic!("expected a typed error, got: {error}");
@@ -97,7 +97,7 @@
     let mut cluster = cluster(|_, _| {}).await;
     let mut answer = start_generation(&cluster, "waits");
     read_tokens(&mut answer, TOKENS_BEFORE_FAULT).await;
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let added = cluster.add_engine(Config::default()).await;
     added.expect("another engine");
     let text = answer.finish().await.expect("the whole answer");
@@ -125,7 +125,7 @@
         .iter()
         .find(|candidate| candidate.engine.stats().live > 0);
     let engine = &serving.expect("an engine that serves").engine;
-    engine.life().pause(Duration::from_secs(3));
+    engine.lifecycle().pause(Duration::from_secs(3));
     let text = answer.finish().await.expect("the whole answer");
     assert_eq!(text, oracle::answer("v1", "paused", MAX_TOKENS));
     wait_until("the paused engine is free", || engine.stats().live == 0)
@@ -135,7 +135,7 @@
 
 /// Kills the only engine of `v1`, starts one of `v2` and declares `v2`.
 async fn change_version(cluster: &mut Cluster) {
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let v2 = Config {
         version: "v2".to_owned(),
         ..Config::default()
@@ -166,7 +166,7 @@
 #[tokio::test]
 async fn a_generation_without_tokens_switches_to_the_new_version() {
     let mut cluster = cluster(|_, _| {}).await;
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     let mut answer = start_generation(&cluster, "new version");
     let generation = tokio::spawn(async move {
         let text = answer.finish().await;
--- a/programs/tests/moves.rs
+++ b/programs/tests/moves.rs
@@ -448,7 +448,7 @@
         .start_move(TRACKER, "v2", deadline_ms(MOVE_DEADLINE))
         .await
         .expect("the move is accepted");
-    cluster.services[1].service.life().die();
+    cluster.services[1].service.lifecycle().crash();
     let states = watch_move(&cluster, TRACKER, &started.move_id).await;
     assert_eq!(final_state(&states).phase(), MovePhase::Done, "{states:?}");
     drop(load);
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -221,7 +221,7 @@
     let dependencies = dependencies(&cluster);
     cluster.engines[0]
         .engine
-        .life()
+        .lifecycle()
         .pause(Duration::from_mins(1));
     let given = orders::give(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
     let message = given.expect_err("the engine does not answer").to_string();
--- a/programs/tests/plain_services.rs
+++ b/programs/tests/plain_services.rs
@@ -74,7 +74,12 @@
     .expect("the memory is reserved");
     let refused = run_action(&cluster, "no room").await;
     assert_eq!(refused, (503, "not-run".to_owned()));
-    assert!(!cluster.services[0].service.runs().contains_key("no room"));
+    assert!(
+        !cluster.services[0]
+            .service
+            .run_counts()
+            .contains_key("no room")
+    );
     wait_until("the memory is released", || budget.reserved() == 0)
         .await
         .expect("the memory is released");
@@ -123,7 +128,7 @@
     assert_eq!(run_action(&cluster, "room").await, (200, "ran".to_owned()));
     let mut answer = Vec::new();
     let _ = stalled.read_to_end(&mut answer).await;
-    let runs = cluster.services[0].service.runs();
+    let runs = cluster.services[0].service.run_counts();
     assert_eq!(runs.keys().collect::<Vec<_>>(), ["room"]);
 }
 
@@ -139,7 +144,7 @@
         ..service::Faults::default()
     });
     assert_eq!(run_action(&cluster, "again").await, (200, "ran".to_owned()));
-    assert_eq!(service.runs()["again"], 1);
+    assert_eq!(service.run_counts()["again"], 1);
 }
 
 #[tokio::test]
@@ -156,13 +161,13 @@
         .call(Method::PUT, "/s/tracker/records/7", "put")
         .await;
     assert_eq!(reply.expect("a reply").run, "ran");
-    assert_eq!(service.runs()["put"], 2);
+    assert_eq!(service.run_counts()["put"], 2);
     service.set_faults(lost);
     assert_eq!(
         run_action(&cluster, "post").await,
         (502, "unknown".to_owned())
     );
-    assert_eq!(service.runs()["post"], 1);
+    assert_eq!(service.run_counts()["post"], 1);
 }
 
 #[tokio::test]
@@ -192,7 +197,7 @@
     let caller = cluster.caller(0);
     let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "traced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
-    let passed_on = cluster.services[0].service.passed_on("traced");
+    let passed_on = cluster.services[0].service.forwarded_headers("traced");
     let passed_on = passed_on.expect("the service was called");
     assert_eq!(passed_on.traceparent.split('-').nth(1), Some(trace));
     let timeout_ms: u64 = passed_on.timeout_ms.parse().expect("milliseconds");
@@ -206,7 +211,7 @@
     let caller = cluster.caller(0);
     let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "untraced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
-    let passed_on = cluster.services[0].service.passed_on("untraced");
+    let passed_on = cluster.services[0].service.forwarded_headers("untraced");
     let passed_on = passed_on.expect("the service was called");
     assert!(!passed_on.traceparent.contains("nonsense"));
 }
--- a/programs/tests/stops.rs
+++ b/programs/tests/stops.rs
@@ -228,7 +228,7 @@
         max_reported > 0,
         "the operator received no report of running generations"
     );
-    leaving.life().die();
+    leaving.lifecycle().crash();
     assert_eq!(count_wrong(generations).await, 0);
     let metrics = || cluster.entries.iter().map(|entry| &entry.context.metrics);
     let lost: u64 = metrics().map(|metrics| metrics.attempts_lost.get()).sum();
@@ -345,7 +345,7 @@
     })
     .await
     .expect("the engine runs no generation");
-    cluster.engines[0].engine.life().die();
+    cluster.engines[0].engine.lifecycle().crash();
     assert_eq!(count_wrong(generations).await, 0);
 }
 
