--- a/serving/src/entry.rs
+++ b/serving/src/entry.rs
@@ -16,7 +16,7 @@
 use crate::modules::calls::Calls;
 use crate::modules::claims::Claims;
 use crate::modules::peers::{Identity, Peers};
-use crate::modules::spread::{self, Duty};
+use crate::modules::replication::{self, Duty};
 use crate::modules::{
     admission, callers, claims, declarations, directory, generation, membership, metrics, moves,
     operators, peers, stops,
@@ -100,7 +100,7 @@
     let advertised = advertised.unwrap_or(addresses.peers);
     claims::start(&context, advertised);
     membership::start(Arc::clone(&context), mailboxes.membership, advertised);
-    spread::start(&context, mailboxes.duty);
+    replication::start(&context, mailboxes.duty);
     Ok(Entry { addresses, context })
 }
 
--- a/serving/src/modules.rs
+++ b/serving/src/modules.rs
@@ -13,5 +13,5 @@
 pub mod operators;
 pub mod orders;
 pub mod peers;
-pub mod spread;
+pub mod replication;
 pub mod stops;
--- a/serving/src/modules/claims.rs
+++ b/serving/src/modules/claims.rs
@@ -17,7 +17,7 @@
 use crate::context::Context;
 use crate::modules::peers::Identity;
 
-mod remainder;
+mod cleanup;
 pub mod run;
 pub mod sweep;
 
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -9,7 +9,7 @@
     Action, Answer, Call, Claimer, Held, Input, Limits, Outcome, Reason, Status,
 };
 
-use super::remainder;
+use super::cleanup;
 use crate::backend::Reply;
 use crate::context::Context;
 use crate::modules::calls::attempts::{self, CallOutcome};
@@ -81,7 +81,7 @@
         action = call.step(input, context.clock.now());
     };
     context.claims.close(sequence, call.status());
-    remainder::clear(context, key, &call);
+    cleanup::clear(context, key, &call);
     conclude(outcome, sent)
 }
 
--- a/serving/src/modules/declarations.rs
+++ b/serving/src/modules/declarations.rs
@@ -17,7 +17,7 @@
 
 use crate::configs::platform::Platform;
 use crate::modules::metrics::Refusal;
-use crate::modules::spread::{Duty, Topic, View};
+use crate::modules::replication::{Duty, Topic, View};
 use crate::platform::{Error, Listing, Store};
 
 /// Prefix of the keys that hold declarations.
--- a/serving/src/modules/directory.rs
+++ b/serving/src/modules/directory.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::backend::{Role, Server};
-use crate::modules::spread::{Topic, View};
+use crate::modules::replication::{Topic, View};
 use crate::platform::Instance;
 
 mod reader;
--- a/serving/src/modules/directory/reader.rs
+++ b/serving/src/modules/directory/reader.rs
@@ -10,7 +10,7 @@
 
 use super::{Roll, Seen, Stamp};
 use crate::configs::platform::Platform;
-use crate::modules::spread::Duty;
+use crate::modules::replication::Duty;
 use crate::platform::{Instance, Store};
 
 /// Readings in a row that must differ from what peers say before they are believed.
--- a/serving/src/modules/operators/stops.rs
+++ b/serving/src/modules/operators/stops.rs
@@ -14,7 +14,7 @@
 use crate::context::Context;
 use crate::modules::stops::{PREFIX, Planned, unix_milliseconds};
 use crate::platform::Store as _;
-use crate::utils::settle::{self, Error};
+use crate::utils::cas::{self, Error};
 
 /// What the operator who watches a stop is told.
 pub(super) type Progress = ReceiverStream<Result<rpc::StopProgress, Status>>;
@@ -31,7 +31,7 @@
 /// Messages kept for an operator who does not read.
 const MESSAGES_KEPT: usize = 16;
 
-impl settle::Value for Stop {
+impl cas::Value for Stop {
     fn change_id(&self) -> &str {
         &self.change_id
     }
@@ -92,7 +92,7 @@
     change_id: &str,
     next: impl Fn(Option<Stop>) -> Result<Stop, Error> + Send,
 ) -> Result<Stop, Status> {
-    let stored = settle::update(&context.platform, key, change_id, next).await?;
+    let stored = cas::update(&context.platform, key, change_id, next).await?;
     context.stops.accept(stored.clone(), context.clock);
     Ok(stored)
 }
--- a/serving/src/modules/peers.rs
+++ b/serving/src/modules/peers.rs
@@ -33,7 +33,7 @@
 use crate::context::Context;
 use crate::modules::moves;
 use crate::modules::operators::confirm::{self, Confirmation, Question};
-use crate::modules::spread::{
+use crate::modules::replication::{
     DeclarationsExchange, DeclarationsMessage, Exchange, InstancesExchange, InstancesMessage,
 };
 use crate::telemetry;
--- a/serving/src/utils.rs
+++ b/serving/src/utils.rs
@@ -1,6 +1,6 @@
 //! Helpers that several modules share.
 
+pub mod cas;
 pub mod mac;
-pub mod settle;
 
 pub use medlarfall_runtime::{budget, http};
--- a/serving/tests/configuration/declarations.rs
+++ b/serving/tests/configuration/declarations.rs
@@ -6,7 +6,7 @@
 use medlarfall_serving::configs::platform::Platform;
 use medlarfall_serving::modules::declarations::{self, Board, PREFIX, Source};
 use medlarfall_serving::modules::metrics::{Metrics, Refusal};
-use medlarfall_serving::modules::spread::Duty;
+use medlarfall_serving::modules::replication::Duty;
 use medlarfall_serving::platform::Store;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
