--- a/programs/src/bench/slow_readers.rs
+++ b/programs/src/bench/slow_readers.rs
@@ -137,7 +137,9 @@
     let held = cluster.entries.iter().map(|entry| &entry.context);
     let metrics = held.clone().map(|context| &context.metrics);
     Ok(Measured {
-        held_peak: held.map(|context| context.held.peak_bytes()).sum(),
+        held_peak: held
+            .map(|context| context.buffer_limiter.peak_bytes())
+            .sum(),
         wrong: slow.into_iter().filter(|right| !right).count() + alone.wrong + beside.wrong,
         given_up: metrics
             .clone()
@@ -265,7 +267,7 @@
 async fn entries_freed(cluster: &Cluster) -> bool {
     let free = || {
         let mut entries = cluster.entries.iter();
-        entries.all(|entry| entry.context.held.buffered_bytes() == 0)
+        entries.all(|entry| entry.context.buffer_limiter.buffered_bytes() == 0)
     };
     wait("the entries hold nothing", free).await.is_ok()
 }
--- a/programs/tests/slow_readers.rs
+++ b/programs/tests/slow_readers.rs
@@ -85,7 +85,7 @@
     let cluster = cluster(one_by_one).await;
     let stream = ask(&cluster, 0).await;
     parked(&cluster, 1).await;
-    let held = &cluster.entries[0].context.held;
+    let held = &cluster.entries[0].context.buffer_limiter;
     assert!(held.peak_bytes() < 2 * READER_BYTES);
     read(stream, 0).await;
     wait("nothing is held", || held.buffered_bytes() == 0)
@@ -102,9 +102,9 @@
     }
     parked(&cluster, READERS as u64).await;
     let context = &cluster.entries[0].context;
-    assert!(context.held.peak_bytes() <= ENTRY_BYTES);
+    assert!(context.buffer_limiter.peak_bytes() <= ENTRY_BYTES);
     assert!(context.metrics.held_given_up.get() > 0);
     let reads = streams.into_iter().enumerate();
     futures::future::join_all(reads.map(|(index, stream)| read(stream, index))).await;
-    assert!(context.held.peak_bytes() <= ENTRY_BYTES);
+    assert!(context.buffer_limiter.peak_bytes() <= ENTRY_BYTES);
 }
--- a/serving/src/context.rs
+++ b/serving/src/context.rs
@@ -12,8 +12,8 @@
 use crate::modules::admission::Admission;
 use crate::modules::calls::Calls;
 use crate::modules::claims::Claims;
-use crate::modules::declarations::{Board, Declarations};
-use crate::modules::directory::{Directory, Roll};
+use crate::modules::declarations::{DeclarationReplica, Declarations};
+use crate::modules::directory::{Directory, InstanceReplica};
 use crate::modules::generation::outbox::Limiter;
 use crate::modules::membership;
 use crate::modules::metrics::Metrics;
@@ -47,9 +47,9 @@
     /// The other entries that are held to be up.
     pub membership: membership::Handle,
     /// What was last seen of each instance.
-    pub roll: Roll,
+    pub instance_replica: InstanceReplica,
     /// Highest revisions of the declarations that this entry has seen.
-    pub board: Board,
+    pub declaration_replica: DeclarationReplica,
     /// Declarations in force at this entry.
     pub declarations: watch::Receiver<Arc<Declarations>>,
     /// Backend servers that this entry knows of.
@@ -58,10 +58,10 @@
     pub stops: Stops,
     /// Moves of services to another version.
     pub moves: moves::Handle,
-    /// What was learnt of the silences of engines.
+    /// What was updates of the silences of engines.
     pub detector: Mutex<Detector>,
     /// Text held for readers of generations.
-    pub held: Arc<Limiter>,
+    pub buffer_limiter: Arc<Limiter>,
     /// Admission of requests to backend servers.
     pub admission: Admission,
     /// Cancelled when the entry stops.
--- a/serving/src/entry.rs
+++ b/serving/src/entry.rs
@@ -16,7 +16,7 @@
 use crate::modules::calls::Calls;
 use crate::modules::claims::Claims;
 use crate::modules::peers::{Identity, Peers};
-use crate::modules::replication::{self, Duty};
+use crate::modules::replication::{self, ReaderRole};
 use crate::modules::{
     admission, callers, claims, declarations, directory, generation, membership, metrics, moves,
     operators, peers, stops,
@@ -82,7 +82,7 @@
 struct Mailboxes {
     moves: moves::Mailbox,
     membership: membership::Inbox,
-    duty: watch::Sender<Duty>,
+    reader_role: watch::Sender<ReaderRole>,
 }
 
 /// Starts an entry.
@@ -100,7 +100,7 @@
     let advertised = advertised.unwrap_or(addresses.peers);
     claims::start(&context, advertised);
     membership::start(Arc::clone(&context), mailboxes.membership, advertised);
-    replication::start(&context, mailboxes.duty);
+    replication::start(&context, mailboxes.reader_role);
     Ok(Entry { addresses, context })
 }
 
@@ -115,10 +115,11 @@
     let metrics = metrics::Metrics::new();
     let (moves_handle, moves_mailbox) = moves::mailbox();
     let (membership, inbox) = membership::channel();
-    let (board, roll, duty) = read_platform(&platform, &settings, &metrics, &stop);
+    let (declaration_replica, instance_replica, reader_role) =
+        read_platform(&platform, &settings, &metrics, &stop);
     let clock = Clock::start();
     let stops = stops::Stops::new();
-    let directory = stops::mark_leaving(roll.view(), &stops, stop.clone());
+    let directory = stops::mark_leaving(instance_replica.view(), &stops, stop.clone());
     let identity = Identity {
         name: Arc::clone(&settings.entry.name),
         incarnation: Arc::from(Uuid::now_v7().to_string()),
@@ -141,14 +142,14 @@
         identity,
         peers: Peers::new(settings.keys.peers.clone()),
         backend: backend::http::Client::new(),
-        declarations: board.view(),
-        board,
+        declarations: declaration_replica.view(),
+        declaration_replica,
         detector: generation::detector(&settings.generation),
-        held: generation::outbox::Limiter::new(settings.generation.held_limit, &metrics),
+        buffer_limiter: generation::outbox::Limiter::new(settings.generation.held_limit, &metrics),
         directory,
         moves: moves_handle,
         membership,
-        roll,
+        instance_replica,
         metrics,
         stops,
         platform,
@@ -158,7 +159,7 @@
     let mailboxes = Mailboxes {
         moves: moves_mailbox,
         membership: inbox,
-        duty,
+        reader_role,
     };
     (context, mailboxes)
 }
@@ -201,23 +202,27 @@
     settings: &Settings,
     metrics: &metrics::Metrics,
     stop: &CancellationToken,
-) -> (declarations::Board, directory::Roll, watch::Sender<Duty>) {
-    let board = declarations::Board::default();
-    let roll = directory::Roll::default();
-    let duty = watch::Sender::new(Duty::Lead);
+) -> (
+    declarations::DeclarationReplica,
+    directory::InstanceReplica,
+    watch::Sender<ReaderRole>,
+) {
+    let declaration_replica = declarations::DeclarationReplica::default();
+    let instance_replica = directory::InstanceReplica::default();
+    let reader_role = watch::Sender::new(ReaderRole::Primary);
     let declarations = declarations::Source {
         store: platform.clone(),
         settings: settings.platform,
-        duty: duty.subscribe(),
+        reader_role: reader_role.subscribe(),
         refusals: metrics.store_refusals.clone(),
     };
-    declarations::start(declarations, board.clone(), stop.clone());
+    declarations::start(declarations, declaration_replica.clone(), stop.clone());
     let instances = directory::Source {
         store: platform.clone(),
         settings: settings.platform,
-        duty: duty.subscribe(),
+        reader_role: reader_role.subscribe(),
         writer: rand::random(),
     };
-    directory::start(instances, roll.clone(), stop.clone());
-    (board, roll, duty)
+    directory::start(instances, instance_replica.clone(), stop.clone());
+    (declaration_replica, instance_replica, reader_role)
 }
--- a/serving/src/modules/declarations.rs
+++ b/serving/src/modules/declarations.rs
@@ -17,7 +17,7 @@
 
 use crate::configs::platform::Platform;
 use crate::modules::metrics::Refusal;
-use crate::modules::replication::{Duty, Topic, View};
+use crate::modules::replication::{ReaderRole, Replica, View};
 use crate::platform::{Error, Listing, Store};
 
 /// Prefix of the keys that hold declarations.
@@ -37,13 +37,13 @@
 const CHECK_LIMIT: Duration = Duration::from_secs(64);
 
 /// The highest revisions seen.
-pub type Board = Topic<u64, Arc<Service>, Declarations>;
+pub type DeclarationReplica = Replica<u64, Arc<Service>, Declarations>;
 
-impl Board {
+impl DeclarationReplica {
     /// Notes that the newest declarations that can be had have been read.
-    pub fn loaded(&self) {
+    pub fn mark_loaded(&self) {
         if !self.view().borrow().loaded {
-            self.note(|declarations| declarations.loaded = true);
+            self.update_view(|declarations| declarations.loaded = true);
         }
     }
 }
@@ -77,7 +77,7 @@
 }
 
 impl View<u64, Arc<Service>> for Declarations {
-    fn take(&mut self, record: &Record<u64, Arc<Service>>) {
+    fn apply(&mut self, record: &Record<u64, Arc<Service>>) {
         let (to, from) = if record.value.deleted {
             (&mut self.deleted, &mut self.services)
         } else {
@@ -106,16 +106,16 @@
     /// How the platform is called.
     pub settings: Platform,
     /// Whether this entry watches the store.
-    pub duty: watch::Receiver<Duty>,
+    pub reader_role: watch::Receiver<ReaderRole>,
     /// Counts what the store returned and was not obeyed.
     pub refusals: Family<Refusal, Counter>,
 }
 
-/// Starts the task that keeps a board current from the store.
-pub fn start<S: Store>(source: Source<S>, board: Board, stop: CancellationToken) {
+/// Starts the task that keeps a replica current from the store.
+pub fn start<S: Store>(source: Source<S>, replica: DeclarationReplica, stop: CancellationToken) {
     let mut reader = Reader {
         source,
-        board,
+        replica,
         pause: RETRY_PAUSE,
     };
     tokio::spawn(async move {
@@ -129,19 +129,19 @@
 /// Reads declarations from the store.
 struct Reader<S> {
     source: Source<S>,
-    board: Board,
+    replica: DeclarationReplica,
     /// Pause after the next failed call.
     pause: Duration,
 }
 
 impl<S: Store> Reader<S> {
-    /// Reads the store as this entry's duty says, for ever.
+    /// Reads the store as this entry's reader_role says, for ever.
     async fn keep_current(&mut self) {
         loop {
-            let duty = *self.source.duty.borrow_and_update();
-            let read = match duty {
-                Duty::Lead | Duty::Second => self.follow().await,
-                Duty::Poll(interval) => self.poll(interval).await,
+            let reader_role = *self.source.reader_role.borrow_and_update();
+            let read = match reader_role {
+                ReaderRole::Primary | ReaderRole::Secondary => self.follow().await,
+                ReaderRole::Poll(interval) => self.poll(interval).await,
             };
             if let Err(error) = read {
                 log::warn!(error = error.to_string().as_str(); "the store cannot be read; the declarations in force stay");
@@ -153,15 +153,15 @@
         }
     }
 
-    /// Lists the declarations, then follows their changes until a call fails or the duty changes.
+    /// Lists the declarations, then follows their changes until a call fails or the reader_role changes.
     async fn follow(&mut self) -> Result<(), Error> {
         let mut check = FIRST_CHECK;
         loop {
             let revision = self.list().await?;
-            let mut duty = self.source.duty.clone();
+            let mut reader_role = self.source.reader_role.clone();
             tokio::select! {
                 failed = self.watch(revision) => return failed,
-                () = changed(&mut duty) => return Ok(()),
+                () = changed(&mut reader_role) => return Ok(()),
                 () = tokio::time::sleep(check) => check = (check * 2).min(CHECK_LIMIT),
             }
         }
@@ -187,12 +187,12 @@
         }
     }
 
-    /// Lists the declarations once, then lets the interval pass or the duty change.
+    /// Lists the declarations once, then lets the interval pass or the reader_role change.
     async fn poll(&mut self, interval: Duration) -> Result<(), Error> {
         // At its start an entry reads the store at once; later its peers tell it of changes.
-        if self.board.view().borrow().loaded {
+        if self.replica.view().borrow().loaded {
             tokio::select! {
-                () = changed(&mut self.source.duty) => return Ok(()),
+                () = changed(&mut self.source.reader_role) => return Ok(()),
                 () = tokio::time::sleep(interval) => {}
             }
         }
@@ -209,16 +209,16 @@
             .iter()
             .filter_map(|item| item.key.strip_prefix(PREFIX))
             .collect();
-        for key in self.board.missing(|key| listed.contains(key)) {
+        for key in self.replica.unlisted(|key| listed.contains(key)) {
             self.refuse("missing", &key);
         }
         self.pause = RETRY_PAUSE;
         self.reached(true);
-        self.board.loaded();
+        self.replica.mark_loaded();
         Ok(revision)
     }
 
-    /// Offers a stored declaration to the board, and reports it if it is not obeyed.
+    /// Offers a stored declaration to the replica, and reports it if it is not obeyed.
     fn take(&self, key: &str, value: &str) {
         let Ok(service) = serde_json::from_str::<Service>(value) else {
             return self.refuse("unreadable", key);
@@ -226,7 +226,7 @@
         if key.strip_prefix(PREFIX) != Some(&service.name) {
             return self.refuse("unreadable", key);
         }
-        match self.board.offer(record(service)) {
+        match self.replica.offer(record(service)) {
             Verdict::Newer | Verdict::Same => {}
             Verdict::Older { .. } => self.refuse("older", key),
             Verdict::Fork => self.refuse("fork", key),
@@ -244,16 +244,16 @@
 
     /// Notes whether the store answered.
     fn reached(&self, reached: bool) {
-        if self.board.view().borrow().store_reachable != reached {
-            self.board
-                .note(|declarations| declarations.store_reachable = reached);
+        if self.replica.view().borrow().store_reachable != reached {
+            self.replica
+                .update_view(|declarations| declarations.store_reachable = reached);
         }
     }
 }
 
-/// Waits until the duty changes; for ever if nobody can change it any more.
-async fn changed(duty: &mut watch::Receiver<Duty>) {
-    if duty.changed().await.is_err() {
+/// Waits until the reader_role changes; for ever if nobody can change it any more.
+async fn changed(reader_role: &mut watch::Receiver<ReaderRole>) {
+    if reader_role.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/serving/src/modules/directory.rs
+++ b/serving/src/modules/directory.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::backend::{Role, Server};
-use crate::modules::replication::{Topic, View};
+use crate::modules::replication::{Replica, View};
 use crate::platform::Instance;
 
 mod reader;
@@ -30,10 +30,10 @@
 }
 
 /// An instance as it was last seen, or nothing if it was taken off the list.
-pub type Seen = Option<Arc<Instance>>;
+pub type Observation = Option<Arc<Instance>>;
 
 /// What was last seen of each instance.
-pub type Roll = Topic<Stamp, Seen, Directory>;
+pub type InstanceReplica = Replica<Stamp, Observation, Directory>;
 
 /// Backend servers by service, and entries.
 #[derive(Clone, Debug, Default)]
@@ -93,8 +93,8 @@
     }
 }
 
-impl View<Stamp, Seen> for Directory {
-    fn take(&mut self, record: &Record<Stamp, Seen>) {
+impl View<Stamp, Observation> for Directory {
+    fn apply(&mut self, record: &Record<Stamp, Observation>) {
         self.remove(&record.key);
         let Some(instance) = &record.value else {
             return;
--- a/serving/src/modules/directory/reader.rs
+++ b/serving/src/modules/directory/reader.rs
@@ -8,9 +8,9 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-use super::{Roll, Seen, Stamp};
+use super::{InstanceReplica, Observation, Stamp};
 use crate::configs::platform::Platform;
-use crate::modules::replication::Duty;
+use crate::modules::replication::ReaderRole;
 use crate::platform::{Instance, Store};
 
 /// Readings in a row that must differ from what peers say before they are believed.
@@ -30,16 +30,16 @@
     /// How the platform is called.
     pub settings: Platform,
     /// Whether this entry reads the list often.
-    pub duty: watch::Receiver<Duty>,
+    pub reader_role: watch::Receiver<ReaderRole>,
     /// Number of this entry in stamps.
     pub writer: u64,
 }
 
 /// Starts the task that reads the instance list.
-pub fn start<S: Store>(source: Source<S>, roll: Roll, stop: CancellationToken) {
+pub fn start<S: Store>(source: Source<S>, replica: InstanceReplica, stop: CancellationToken) {
     let mut reader = Reader {
         source,
-        roll,
+        replica,
         last: HashMap::new(),
         differing: HashMap::new(),
         failures: 0,
@@ -55,7 +55,7 @@
 /// Reads the instance list.
 struct Reader<S> {
     source: Source<S>,
-    roll: Roll,
+    replica: InstanceReplica,
     /// The last reading.
     last: HashMap<String, Arc<Instance>>,
     /// How many readings in a row an instance has differed from what peers say.
@@ -68,25 +68,25 @@
     /// Reads the list again and again; what was seen stays in force while it cannot be read.
     async fn keep_current(&mut self) {
         loop {
-            let duty = *self.source.duty.borrow_and_update();
+            let reader_role = *self.source.reader_role.borrow_and_update();
             match self.source.store.instances().await {
-                Ok(instances) => self.compare(instances, duty),
+                Ok(instances) => self.compare(instances, reader_role),
                 Err(error) => {
                     self.failures += 1;
                     log::warn!(error = error.to_string().as_str(); "the instance list cannot be read");
                 }
             }
-            self.rest(duty).await;
+            self.rest(reader_role).await;
         }
     }
 
-    /// Lets time pass until the next reading, or until the duty changes.
-    async fn rest(&mut self, duty: Duty) {
+    /// Lets time pass until the next reading, or until the reader_role changes.
+    async fn rest(&mut self, reader_role: ReaderRole) {
         let interval = self.source.settings.instances_interval;
-        let pause = match duty {
-            Duty::Lead => interval,
-            Duty::Second => interval * SECOND_INTERVALS,
-            Duty::Poll(pause) => pause,
+        let pause = match reader_role {
+            ReaderRole::Primary => interval,
+            ReaderRole::Secondary => interval * SECOND_INTERVALS,
+            ReaderRole::Poll(pause) => pause,
         };
         let pause = pause.max(interval * self.failures.min(PAUSE_INTERVALS));
         tokio::select! {
@@ -98,18 +98,18 @@
     /// Waits until this entry has to read more often than each `pause`.
     async fn promoted(&mut self, pause: Duration) {
         let interval = self.source.settings.instances_interval;
-        let more = |duty: &Duty| match duty {
-            Duty::Lead => pause > interval,
-            Duty::Second => pause > interval * SECOND_INTERVALS,
-            Duty::Poll(_) => false,
+        let more = |reader_role: &ReaderRole| match reader_role {
+            ReaderRole::Primary => pause > interval,
+            ReaderRole::Secondary => pause > interval * SECOND_INTERVALS,
+            ReaderRole::Poll(_) => false,
         };
-        if self.failures > 0 || self.source.duty.wait_for(more).await.is_err() {
+        if self.failures > 0 || self.source.reader_role.wait_for(more).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
     /// Takes what a reading changes.
-    fn compare(&mut self, instances: Vec<Instance>, duty: Duty) {
+    fn compare(&mut self, instances: Vec<Instance>, reader_role: ReaderRole) {
         self.failures = 0;
         let listed: HashMap<String, Arc<Instance>> = instances
             .into_iter()
@@ -118,33 +118,33 @@
         let names: BTreeSet<String> = listed
             .keys()
             .cloned()
-            .chain(self.roll.missing(|name| listed.contains_key(name)))
+            .chain(self.replica.unlisted(|name| listed.contains_key(name)))
             .collect();
         for name in names {
-            self.judge(&name, listed.get(&name), duty);
+            self.judge(&name, listed.get(&name), reader_role);
         }
         self.last = listed;
     }
 
     /// Takes an instance as listed if this is news, and not an older state than peers have seen.
-    fn judge(&mut self, name: &str, listed: Option<&Arc<Instance>>, duty: Duty) {
-        let held: Option<Seen> = self.roll.get(name);
+    fn judge(&mut self, name: &str, listed: Option<&Arc<Instance>>, reader_role: ReaderRole) {
+        let held: Option<Observation> = self.replica.get(name);
         let unknown = held.is_none();
         if listed == held.flatten().as_ref() {
             self.differing.remove(name);
             return;
         }
         // A change between two readings of one's own is news; a first reading may lag behind.
-        let watches = !matches!(duty, Duty::Poll(_)) && !self.last.is_empty();
+        let watches = !matches!(reader_role, ReaderRole::Poll(_)) && !self.last.is_empty();
         let changed = watches && self.last.get(name) != listed;
         let differing = self.differing.entry(name.to_owned()).or_default();
         *differing += 1;
         if unknown || changed || *differing >= READINGS {
             self.differing.remove(name);
-            let counter = self.roll.revision(name).unwrap_or_default().counter + 1;
+            let counter = self.replica.revision(name).unwrap_or_default().counter + 1;
             let writer = self.source.writer;
             let stamp = Stamp { counter, writer };
-            self.roll
+            self.replica
                 .offer(Record::new(name, stamp, listed.map(Arc::clone)));
         }
     }
--- a/serving/src/modules/generation.rs
+++ b/serving/src/modules/generation.rs
@@ -68,7 +68,7 @@
 #[must_use]
 pub fn start(context: Arc<Context>, request: Request) -> Reader {
     let limit = context.settings.generation.buffered_bytes;
-    let (outbox, reader) = outbox::open(&context.held, limit);
+    let (outbox, reader) = outbox::open(&context.buffer_limiter, limit);
     tokio::spawn(
         async move {
             let stop = context.stop.clone();
--- a/serving/src/modules/operators.rs
+++ b/serving/src/modules/operators.rs
@@ -67,10 +67,10 @@
         let request = request.into_inner();
         let (wait, wait_ms) = (request.wait, request.wait_ms);
         let change = apply::Change::try_from(request)?;
-        let board = &self.context.board;
-        let held = board.get(change.name());
+        let replica = &self.context.declaration_replica;
+        let held = replica.get(change.name());
         let stored = apply::store(&self.context.platform, held.as_deref(), change).await?;
-        board.offer(declarations::record(stored.clone()));
+        replica.offer(declarations::record(stored.clone()));
         let mut reply = rpc::ApplyReply::default();
         if wait {
             let limit = Duration::from_millis(wait_ms);
--- a/serving/src/modules/operators/confirm.rs
+++ b/serving/src/modules/operators/confirm.rs
@@ -124,7 +124,7 @@
 pub async fn answer(context: &Arc<Context>, question: Question) -> Confirmation {
     let mut found = Confirmation::default();
     let own = Arc::clone(&context.settings.entry.name);
-    let mut view = context.board.view();
+    let mut view = context.declaration_replica.view();
     let in_force = |declarations: &Arc<Declarations>| {
         declarations.revision(&question.name) >= Some(question.revision)
     };
--- a/serving/src/modules/peers.rs
+++ b/serving/src/modules/peers.rs
@@ -34,7 +34,7 @@
 use crate::modules::moves;
 use crate::modules::operators::confirm::{self, Confirmation, Question};
 use crate::modules::replication::{
-    DeclarationsExchange, DeclarationsMessage, Exchange, InstancesExchange, InstancesMessage,
+    DeclarationsMessage, DeclarationsResponse, InstancesMessage, InstancesResponse, Response,
 };
 use crate::telemetry;
 
@@ -78,9 +78,9 @@
     /// Takes a message of membership and returns the answers to its sender.
     async fn gossip(message: membership::Message) -> Vec<membership::Message>;
     /// Takes a message of an exchange of declarations.
-    async fn declarations(message: DeclarationsMessage) -> DeclarationsExchange;
+    async fn declarations(message: DeclarationsMessage) -> DeclarationsResponse;
     /// Takes a message of an exchange of instances.
-    async fn instances(message: InstancesMessage) -> InstancesExchange;
+    async fn instances(message: InstancesMessage) -> InstancesResponse;
     /// Takes the planned stops that a peer knows of and returns those known here.
     async fn stops(known: Vec<Stop>) -> Vec<Stop>;
     /// Returns where a revision is in force.
@@ -256,16 +256,16 @@
         self,
         _: context::Context,
         message: DeclarationsMessage,
-    ) -> DeclarationsExchange {
+    ) -> DeclarationsResponse {
         let loaded = self.context.declarations.borrow().loaded;
-        let message = self.context.board.answer(message);
-        Exchange { loaded, message }
+        let message = self.context.declaration_replica.respond(message);
+        Response { loaded, message }
     }
 
-    async fn instances(self, _: context::Context, message: InstancesMessage) -> InstancesExchange {
-        let message = self.context.roll.answer(message);
+    async fn instances(self, _: context::Context, message: InstancesMessage) -> InstancesResponse {
+        let message = self.context.instance_replica.respond(message);
         let loaded = true;
-        Exchange { loaded, message }
+        Response { loaded, message }
     }
 
     async fn confirm(self, _: context::Context, question: Question) -> Confirmation {
--- a/serving/src/modules/replication.rs
+++ b/serving/src/modules/replication.rs
@@ -10,49 +10,49 @@
 mod task;
 
 pub use task::{
-    DeclarationsExchange, DeclarationsMessage, Exchange, InstancesExchange, InstancesMessage, start,
+    DeclarationsMessage, DeclarationsResponse, InstancesMessage, InstancesResponse, Response, start,
 };
 
 /// Groups of new records kept for the task that passes them on; more are left to the comparison
 /// with peers.
-const LEARNT_KEPT: usize = 1024;
+const UPDATE_QUEUE_CAPACITY: usize = 1024;
 
-/// What an entry does to keep a topic current.
+/// What an entry does to keep a replica current.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Duty {
+pub enum ReaderRole {
     /// It is the first of its failure domain that follows the platform and passes changes on.
-    Lead,
+    Primary,
     /// It follows the platform as well, in case the first does not.
-    Second,
+    Secondary,
     /// It learns from its peers and reads the platform once in a long while.
     Poll(Duration),
 }
 
-/// What the modules of an entry read of a topic.
+/// What the modules of an entry read of a replica.
 pub trait View<R, T>: Clone + Default {
     /// Takes a record that is newer than the one of its key.
-    fn take(&mut self, record: &Record<R, T>);
+    fn apply(&mut self, record: &Record<R, T>);
 }
 
 /// Values by key, of which only the highest revision counts, and the view of them.
 #[derive(Debug)]
-pub struct Topic<R, T, V> {
+pub struct Replica<R, T, V> {
     ledger: Arc<Mutex<Ledger<R, T>>>,
     view: watch::Sender<Arc<V>>,
-    learnt: broadcast::Sender<Vec<Record<R, T>>>,
+    updates: broadcast::Sender<Vec<Record<R, T>>>,
 }
 
-impl<R, T, V> Clone for Topic<R, T, V> {
+impl<R, T, V> Clone for Replica<R, T, V> {
     fn clone(&self) -> Self {
         Self {
             ledger: Arc::clone(&self.ledger),
             view: self.view.clone(),
-            learnt: self.learnt.clone(),
+            updates: self.updates.clone(),
         }
     }
 }
 
-impl<R, T, V> Default for Topic<R, T, V>
+impl<R, T, V> Default for Replica<R, T, V>
 where
     R: Clone,
     T: Clone,
@@ -62,12 +62,12 @@
         Self {
             ledger: Arc::default(),
             view: watch::Sender::default(),
-            learnt: broadcast::Sender::new(LEARNT_KEPT),
+            updates: broadcast::Sender::new(UPDATE_QUEUE_CAPACITY),
         }
     }
 }
 
-impl<R, T, V> Topic<R, T, V>
+impl<R, T, V> Replica<R, T, V>
 where
     R: Copy + Hash + Ord,
     T: Clone + PartialEq,
@@ -84,12 +84,12 @@
 
     /// Returns the groups of records that are new from now on.
     #[must_use]
-    pub fn learnt(&self) -> broadcast::Receiver<Vec<Record<R, T>>> {
-        self.learnt.subscribe()
+    pub fn updates(&self) -> broadcast::Receiver<Vec<Record<R, T>>> {
+        self.updates.subscribe()
     }
 
     /// Changes the view where it does not stem from records.
-    pub fn note(&self, change: impl FnOnce(&mut V)) {
+    pub fn update_view(&self, change: impl FnOnce(&mut V)) {
         self.view.send_modify(|view| change(Arc::make_mut(view)));
     }
 
@@ -107,7 +107,7 @@
 
     /// Returns the keys that are held and not listed.
     #[must_use]
-    pub fn missing(&self, listed: impl Fn(&str) -> bool) -> Vec<String> {
+    pub fn unlisted(&self, listed: impl Fn(&str) -> bool) -> Vec<String> {
         self.lock()
             .iter()
             .filter(|record| !listed(&record.key))
@@ -127,13 +127,13 @@
 
     /// Returns the first message of an exchange with a peer.
     #[must_use]
-    pub fn hello(&self) -> Message<R, T> {
+    pub fn start_exchange(&self) -> Message<R, T> {
         self.lock().start_exchange()
     }
 
     /// Answers a message of an exchange with a peer.
     #[must_use]
-    pub fn answer(&self, message: Message<R, T>) -> Message<R, T> {
+    pub fn respond(&self, message: Message<R, T>) -> Message<R, T> {
         let mut ledger = self.lock();
         let (answer, newer) = ledger.respond(message);
         if !newer.is_empty() {
@@ -145,9 +145,9 @@
     /// Puts new records into the view and hands them to the task that passes them on; the caller
     /// holds the ledger, so that the view changes in the ledger's order.
     fn publish(&self, newer: Vec<Record<R, T>>) {
-        self.note(|view| newer.iter().for_each(|record| view.take(record)));
+        self.update_view(|view| newer.iter().for_each(|record| view.apply(record)));
         // Without a task that passes them on there is nobody to tell.
-        let _ = self.learnt.send(newer);
+        let _ = self.updates.send(newer);
     }
 
     fn lock(&self) -> MutexGuard<'_, Ledger<R, T>> {
--- a/serving/src/modules/replication/task.rs
+++ b/serving/src/modules/replication/task.rs
@@ -13,7 +13,7 @@
 use tokio::sync::broadcast::error::RecvError;
 use tokio::sync::watch;
 
-use super::{Duty, Topic, View};
+use super::{ReaderRole, Replica, View};
 use crate::context::Context;
 use crate::modules::membership::Membership;
 
@@ -44,23 +44,23 @@
 
 /// An answer of a peer to a message of an exchange.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Exchange<R, T> {
+pub struct Response<R, T> {
     /// Whether the peer has read what there is.
     pub loaded: bool,
     /// The answer.
     pub message: Message<R, T>,
 }
 
-/// Starts the tasks; `duty` tells the readers of the platform what is theirs.
-pub fn start(context: &Arc<Context>, duty: watch::Sender<Duty>) {
+/// Starts the tasks; `reader_role` tells the readers of the platform what is theirs.
+pub fn start(context: &Arc<Context>, reader_role: watch::Sender<ReaderRole>) {
     let stop = context.stop.clone();
     let context = Arc::clone(context);
     tokio::spawn(async move {
         let tasks = async {
             tokio::join!(
-                assign(&context, &duty),
-                pass_on(&context, &context.board, ask_declarations),
-                pass_on(&context, &context.roll, ask_instances),
+                assign(&context, &reader_role),
+                pass_on(&context, &context.declaration_replica, ask_declarations),
+                pass_on(&context, &context.instance_replica, ask_instances),
                 compare(&context),
             )
         };
@@ -72,7 +72,7 @@
 }
 
 /// Shares out the reading of the platform among the entries of the failure domain.
-async fn assign(context: &Context, duty: &watch::Sender<Duty>) {
+async fn assign(context: &Context, reader_role: &watch::Sender<ReaderRole>) {
     let own = &context.settings.entry.name;
     let mut membership = context.membership.view();
     loop {
@@ -83,11 +83,12 @@
             .map(|member| member.name.as_ref());
         let members = u32::try_from(names.len() + 1).unwrap_or(u32::MAX);
         let assigned = match rank("platform", own, names) {
-            0 => Duty::Lead,
-            1 => Duty::Second,
-            _ => Duty::Poll(POLL_INTERVAL.saturating_mul(members)),
+            0 => ReaderRole::Primary,
+            1 => ReaderRole::Secondary,
+            _ => ReaderRole::Poll(POLL_INTERVAL.saturating_mul(members)),
         };
-        duty.send_if_modified(|duty| std::mem::replace(duty, assigned) != assigned);
+        reader_role
+            .send_if_modified(|reader_role| std::mem::replace(reader_role, assigned) != assigned);
         if membership.changed().await.is_err() {
             return;
         }
@@ -97,23 +98,23 @@
 /// Passes new records on to a few peers, which pass them on in turn.
 async fn pass_on<R, T, V, F>(
     context: &Arc<Context>,
-    topic: &Topic<R, T, V>,
+    replica: &Replica<R, T, V>,
     ask: impl Fn(Arc<Context>, SocketAddr, Message<R, T>) -> F,
 ) where
     R: Copy + Hash + Ord + Send + 'static,
     T: Clone + PartialEq + Send + 'static,
     V: View<R, T>,
-    F: Future<Output = Option<Exchange<R, T>>> + Send + 'static,
+    F: Future<Output = Option<Response<R, T>>> + Send + 'static,
 {
-    let mut learnt = topic.learnt();
+    let mut updates = replica.updates();
     loop {
-        let mut records = match learnt.recv().await {
+        let mut records = match updates.recv().await {
             Ok(records) => records,
             // What was missed is found by comparison.
             Err(RecvError::Lagged(_)) => continue,
             Err(RecvError::Closed) => return,
         };
-        while let (true, Ok(more)) = (records.len() < CARRIED, learnt.try_recv()) {
+        while let (true, Ok(more)) = (records.len() < CARRIED, updates.try_recv()) {
             records.extend(more);
         }
         for address in targets(&context.membership.view().borrow()) {
@@ -182,7 +183,7 @@
         .map(|member| compare_with(context, member.address));
     let loaded = futures::future::join_all(comparisons).await;
     if loaded.contains(&true) {
-        context.board.loaded();
+        context.declaration_replica.mark_loaded();
     }
 }
 
@@ -201,17 +202,23 @@
 
 /// Compares all topics with a peer, and returns whether the peer has read the declarations.
 async fn compare_with(context: &Arc<Context>, address: SocketAddr) -> bool {
-    let loaded = exchange(context, &context.board, address, ask_declarations).await;
+    let loaded = exchange(
+        context,
+        &context.declaration_replica,
+        address,
+        ask_declarations,
+    )
+    .await;
     if loaded.is_some() {
-        exchange(context, &context.roll, address, ask_instances).await;
+        exchange(context, &context.instance_replica, address, ask_instances).await;
     }
     loaded.unwrap_or_default()
 }
 
-/// Makes a topic equal at both sides, and returns whether the peer has read what there is.
+/// Makes a replica equal at both sides, and returns whether the peer has read what there is.
 async fn exchange<R, T, V, F>(
     context: &Arc<Context>,
-    topic: &Topic<R, T, V>,
+    replica: &Replica<R, T, V>,
     address: SocketAddr,
     ask: impl Fn(Arc<Context>, SocketAddr, Message<R, T>) -> F,
 ) -> Option<bool>
@@ -219,14 +226,14 @@
     R: Copy + Hash + Ord,
     T: Clone + PartialEq,
     V: View<R, T>,
-    F: Future<Output = Option<Exchange<R, T>>>,
+    F: Future<Output = Option<Response<R, T>>>,
 {
-    let mut message = topic.hello();
+    let mut message = replica.start_exchange();
     let mut loaded = true;
     for _ in 0..STEPS {
         let answer = ask(Arc::clone(context), address, message).await?;
         loaded = answer.loaded;
-        message = topic.answer(answer.message);
+        message = replica.respond(answer.message);
         if matches!(message, Message::Done) {
             break;
         }
@@ -239,7 +246,7 @@
     context: Arc<Context>,
     address: SocketAddr,
     message: DeclarationsMessage,
-) -> Option<DeclarationsExchange> {
+) -> Option<DeclarationsResponse> {
     let call = context
         .peers
         .call(address, CALL_TIMEOUT, |client, deadline| async move {
@@ -253,7 +260,7 @@
     context: Arc<Context>,
     address: SocketAddr,
     message: InstancesMessage,
-) -> Option<InstancesExchange> {
+) -> Option<InstancesResponse> {
     let call = context
         .peers
         .call(address, CALL_TIMEOUT, |client, deadline| async move {
@@ -266,12 +273,12 @@
 pub type DeclarationsMessage = Message<u64, Arc<medlarfall_schema::declaration::Service>>;
 
 /// An answer in an exchange of declarations.
-pub type DeclarationsExchange = Exchange<u64, Arc<medlarfall_schema::declaration::Service>>;
+pub type DeclarationsResponse = Response<u64, Arc<medlarfall_schema::declaration::Service>>;
 
 /// A message of an exchange of instances.
 pub type InstancesMessage =
-    Message<crate::modules::directory::Stamp, crate::modules::directory::Seen>;
+    Message<crate::modules::directory::Stamp, crate::modules::directory::Observation>;
 
 /// An answer in an exchange of instances.
-pub type InstancesExchange =
-    Exchange<crate::modules::directory::Stamp, crate::modules::directory::Seen>;
+pub type InstancesResponse =
+    Response<crate::modules::directory::Stamp, crate::modules::directory::Observation>;
--- a/serving/tests/configuration/declarations.rs
+++ b/serving/tests/configuration/declarations.rs
@@ -4,9 +4,9 @@
 
 use medlarfall_schema::declaration::Service;
 use medlarfall_serving::configs::platform::Platform;
-use medlarfall_serving::modules::declarations::{self, Board, PREFIX, Source};
+use medlarfall_serving::modules::declarations::{self, DeclarationReplica, PREFIX, Source};
 use medlarfall_serving::modules::metrics::{Metrics, Refusal};
-use medlarfall_serving::modules::replication::Duty;
+use medlarfall_serving::modules::replication::ReaderRole;
 use medlarfall_serving::platform::Store;
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep};
@@ -19,29 +19,29 @@
 
 /// A reader of the store.
 struct Reader {
-    board: Board,
-    duty: watch::Sender<Duty>,
+    replica: DeclarationReplica,
+    reader_role: watch::Sender<ReaderRole>,
     metrics: Metrics,
     _stop: DropGuard,
 }
 
 impl Reader {
-    fn start(store: Memory, duty: Duty) -> Self {
+    fn start(store: Memory, reader_role: ReaderRole) -> Self {
         let stop = CancellationToken::new();
         let reader = Self {
-            board: Board::default(),
-            duty: watch::Sender::new(duty),
+            replica: DeclarationReplica::default(),
+            reader_role: watch::Sender::new(reader_role),
             metrics: Metrics::new(),
             _stop: stop.clone().drop_guard(),
         };
         let source = Source {
             store,
             settings: Platform::new(([127, 0, 0, 1], 1).into()),
-            duty: reader.duty.subscribe(),
+            reader_role: reader.reader_role.subscribe(),
             refusals: reader.metrics.store_refusals.clone(),
         };
-        let board = reader.board.clone();
-        declarations::start(source, board, stop);
+        let replica = reader.replica.clone();
+        declarations::start(source, replica, stop);
         reader
     }
 
@@ -51,11 +51,11 @@
     }
 
     fn revision(&self) -> u64 {
-        self.board.revision("briefs").unwrap_or_default()
+        self.replica.revision("briefs").unwrap_or_default()
     }
 
     async fn reaches(&self, revision: u64) {
-        let mut view = self.board.view();
+        let mut view = self.replica.view();
         let reached = view.wait_for(|held| held.revision("briefs") >= Some(revision));
         let reached = tokio::time::timeout(IN_FORCE, reached).await;
         assert!(reached.is_ok(), "revision {revision} is not in force");
@@ -84,7 +84,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_change_is_in_force_at_once_and_an_older_one_never() {
     let store = Memory::new();
-    let reader = Reader::start(store.clone(), Duty::Lead);
+    let reader = Reader::start(store.clone(), ReaderRole::Primary);
     write(&store, 1, false).await;
     reader.reaches(1).await;
     write(&store, 5, false).await;
@@ -100,25 +100,25 @@
     let store = Memory::new();
     write(&store, 1, false).await;
     write(&store, 2, false).await;
-    let reader = Reader::start(store.with(&[Fault::Stale]), Duty::Lead);
+    let reader = Reader::start(store.with(&[Fault::Stale]), ReaderRole::Primary);
     reader.reaches(2).await;
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_vanished_key_is_reported_and_a_deletion_is_obeyed() {
     let store = Memory::new();
-    let reader = Reader::start(store.clone(), Duty::Lead);
+    let reader = Reader::start(store.clone(), ReaderRole::Primary);
     write(&store, 1, false).await;
     reader.reaches(1).await;
     let key = format!("{PREFIX}briefs");
     let item = store.get(&key).await.expect("a read").expect("an item");
     store.delete(&key, item.revision).await.expect("a delete");
     sleep(Duration::from_secs(5)).await;
-    assert!(reader.board.view().borrow().service("briefs").is_some());
+    assert!(reader.replica.view().borrow().service("briefs").is_some());
     assert!(reader.refused("missing") > 0);
     write(&store, 2, true).await;
     reader.reaches(2).await;
-    let declarations = reader.board.view().borrow().clone();
+    let declarations = reader.replica.view().borrow().clone();
     assert!(declarations.service("briefs").is_none());
     assert!(declarations.deleted.contains_key("briefs"));
 }
@@ -126,13 +126,13 @@
 #[tokio::test(start_paused = true)]
 async fn declarations_stay_in_an_outage_and_catch_up_after_it() {
     let store = Memory::new();
-    let reader = Reader::start(store.clone(), Duty::Lead);
+    let reader = Reader::start(store.clone(), ReaderRole::Primary);
     write(&store, 1, false).await;
     reader.reaches(1).await;
     store.set_down(true);
     sleep(Duration::from_mins(10)).await;
     assert_eq!(reader.revision(), 1);
-    assert!(!reader.board.view().borrow().store_reachable);
+    assert!(!reader.replica.view().borrow().store_reachable);
     let calls = store.calls();
     sleep(Duration::from_mins(1)).await;
     assert!(
@@ -145,19 +145,19 @@
     // The longest pause is 2 s with a jitter of half of it.
     sleep(Duration::from_secs(3)).await;
     reader.reaches(2).await;
-    assert!(reader.board.view().borrow().store_reachable);
+    assert!(reader.replica.view().borrow().store_reachable);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_entry_alone_in_an_outage_has_loaded_nothing() {
     let store = Memory::new();
     store.set_down(true);
-    let reader = Reader::start(store.clone(), Duty::Lead);
+    let reader = Reader::start(store.clone(), ReaderRole::Primary);
     sleep(Duration::from_secs(30)).await;
-    assert!(!reader.board.view().borrow().loaded);
+    assert!(!reader.replica.view().borrow().loaded);
     store.set_down(false);
     sleep(Duration::from_secs(4)).await;
-    assert!(reader.board.view().borrow().loaded);
+    assert!(reader.replica.view().borrow().loaded);
 }
 
 #[tokio::test(start_paused = true)]
@@ -166,26 +166,26 @@
     write(&store, 1, false).await;
     let before = store.calls();
     let interval = Duration::from_mins(1);
-    let reader = Reader::start(store.clone(), Duty::Poll(interval));
+    let reader = Reader::start(store.clone(), ReaderRole::Poll(interval));
     reader.reaches(1).await;
     let started = Instant::now();
     sleep(Duration::from_mins(10)).await;
     let calls = store.calls() - before;
     assert!(calls <= 11, "{calls} calls in {:?}", started.elapsed());
-    reader.duty.send_replace(Duty::Lead);
+    reader.reader_role.send_replace(ReaderRole::Primary);
     write(&store, 2, false).await;
     reader.reaches(2).await;
 }
 
 #[test]
 fn what_was_learnt_before_a_look_counts_as_a_change() {
-    let board = Board::default();
+    let replica = DeclarationReplica::default();
     let service = Service {
         name: "briefs".to_owned(),
         revision: 1,
         ..Service::default()
     };
-    board.offer(declarations::record(service));
-    let view = board.view();
+    replica.offer(declarations::record(service));
+    let view = replica.view();
     assert_eq!(view.has_changed().ok(), Some(true));
 }
