--- a/serving/src/context.rs
+++ b/serving/src/context.rs
@@ -1,4 +1,4 @@
-//! What every module of an entry shares, passed by reference.
+//! Shared state of an entry, passed to its modules by reference.
 
 use std::sync::{Arc, Mutex};
 
@@ -23,44 +23,44 @@
 use crate::modules::stops::Stops;
 use crate::platform;
 
-/// The context of one entry instance.
+/// Shared state of one entry.
 #[derive(Debug)]
 pub struct Context {
-    /// Checked settings.
+    /// Validated settings.
     pub settings: Settings,
-    /// The runtime's clock.
+    /// Monotonic clock.
     pub clock: Clock,
-    /// Metrics of this entry.
+    /// Metrics.
     pub metrics: Metrics,
-    /// The platform.
+    /// Client of the platform.
     pub platform: platform::http::Client,
-    /// What this entry says of itself to its peers.
+    /// Identity that this entry reports to its peers.
     pub identity: Identity,
     /// Connections to the other entries.
     pub peers: Peers,
-    /// Claims on callers' identifiers.
+    /// Claims of this entry on callers' identifiers.
     pub claims: Claims,
-    /// What calls to plain services share.
+    /// Shared state of calls to plain services.
     pub calls: Calls,
-    /// Backend servers.
+    /// Client of the backend servers.
     pub backend: backend::http::Client,
-    /// The other entries that are held to be up.
+    /// Handle of the membership task.
     pub membership: membership::Handle,
-    /// What was last seen of each instance.
+    /// Replica of the platform's instance list.
     pub instance_replica: InstanceReplica,
-    /// Highest revisions of the declarations that this entry has seen.
+    /// Replica of the declarations in the platform's store.
     pub declaration_replica: DeclarationReplica,
     /// Declarations in force at this entry.
     pub declarations: watch::Receiver<Arc<Declarations>>,
-    /// Backend servers that this entry knows of.
+    /// Known backend servers and entries; servers that are about to stop are marked as leaving.
     pub directory: watch::Receiver<Arc<Directory>>,
-    /// Planned stops, and what holds them.
+    /// Planned stops and their progress.
     pub stops: Stops,
-    /// Moves of services to another version.
+    /// Handle of the task that runs moves of services to another version.
     pub moves: moves::Handle,
-    /// What was updates of the silences of engines.
+    /// Detector of engines that have stopped responding.
     pub detector: Mutex<Detector>,
-    /// Text held for readers of generations.
+    /// Limit on the text buffered for readers of generations.
     pub buffer_limiter: Arc<Limiter>,
     /// Admission of requests to backend servers.
     pub admission: Admission,
@@ -69,7 +69,7 @@
 }
 
 impl Context {
-    /// Returns the way in which orders reach backend servers.
+    /// Returns the clients and settings that orders to backend servers need.
     #[must_use]
     pub fn orders(&self) -> orders::Way<platform::http::Client, backend::http::Client> {
         orders::Way {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// Returns whether a backend server is declared to refuse old fencing numbers.
+    /// Returns whether the service of a backend server is declared to refuse outdated fencing
+    /// numbers.
     #[must_use]
     pub fn enforces_fencing(&self, server: &backend::Server) -> bool {
         let declarations = Arc::clone(&self.declarations.borrow());
--- a/serving/src/entry.rs
+++ b/serving/src/entry.rs
@@ -1,4 +1,4 @@
-//! A whole entry instance: its ports and tasks.
+//! Startup and shutdown of an entry: its ports, its tasks and their shared context.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 };
 use crate::platform;
 
-/// Why an entry could not start.
+/// Error of an entry that cannot start.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A port cannot be bound.
@@ -31,7 +31,7 @@
         "{port} cannot listen on {address}: {source}; free the address or change the setting"
     ))]
     Bind {
-        /// Setting that names the address.
+        /// Setting of the address.
         port: &'static str,
         /// The address.
         address: SocketAddr,
@@ -58,28 +58,28 @@
 pub struct Entry {
     /// Addresses that the entry listens on.
     pub addresses: Addresses,
-    /// What the entry's modules share.
+    /// Shared state of the entry's modules.
     pub context: Arc<Context>,
 }
 
 impl Entry {
-    /// Leaves: takes no new requests, ends those in progress within the entry's window, then ends the
-    /// entry's tasks. Returns whether every request ended on its own.
+    /// Shuts down gracefully: refuses new requests, waits for those in progress within the entry's
+    /// window, then ends the entry's tasks. Returns whether every request ended by itself.
     pub async fn leave(&self) -> bool {
         self.context.membership.leave().await;
-        let whole = stops::leave(&self.context).await;
+        let completed = stops::leave(&self.context).await;
         self.kill();
-        whole
+        completed
     }
 
-    /// Ends the entry's tasks at once, as the death of the process would.
+    /// Ends the entry's tasks immediately, like a crash of the process.
     pub fn kill(&self) {
         self.context.stop.cancel();
     }
 }
 
-/// What tasks are started with, beside the context.
-struct Mailboxes {
+/// Receiving ends of the channels to tasks that start after the context is built.
+struct Channels {
     moves: moves::Mailbox,
     membership: membership::Inbox,
     reader_role: watch::Sender<ReaderRole>,
@@ -89,23 +89,23 @@
 ///
 /// # Errors
 ///
-/// Returns which port could not be bound.
+/// Returns the port that cannot be bound and the cause.
 pub async fn start(settings: Settings) -> Result<Entry, Error> {
-    let (context, mailboxes) = build(settings);
+    let (context, channels) = build(settings);
     stops::start(&context);
-    moves::driver::start(&context, mailboxes.moves);
+    moves::driver::start(&context, channels.moves);
     generation::start_detector_cleanup(Arc::clone(&context));
-    let addresses = open(&context).await?;
+    let addresses = open_ports(&context).await?;
     let advertised = context.settings.peers.advertise;
     let advertised = advertised.unwrap_or(addresses.peers);
     claims::start(&context, advertised);
-    membership::start(Arc::clone(&context), mailboxes.membership, advertised);
-    replication::start(&context, mailboxes.reader_role);
+    membership::start(Arc::clone(&context), channels.membership, advertised);
+    replication::start(&context, channels.reader_role);
     Ok(Entry { addresses, context })
 }
 
-/// Builds the context and starts the tasks that need nothing of it.
-fn build(settings: Settings) -> (Arc<Context>, Mailboxes) {
+/// Builds the context and starts the tasks that do not depend on it.
+fn build(settings: Settings) -> (Arc<Context>, Channels) {
     let platform = platform::http::Client::new(
         settings.platform.address,
         Arc::clone(&settings.entry.name),
@@ -116,7 +116,7 @@
     let (moves_handle, moves_mailbox) = moves::mailbox();
     let (membership, inbox) = membership::channel();
     let (declaration_replica, instance_replica, reader_role) =
-        read_platform(&platform, &settings, &metrics, &stop);
+        start_platform_readers(&platform, &settings, &metrics, &stop);
     let clock = Clock::start();
     let stops = stops::Stops::new();
     let directory = stops::mark_leaving(instance_replica.view(), &stops, stop.clone());
@@ -156,16 +156,16 @@
         settings,
         stop,
     });
-    let mailboxes = Mailboxes {
+    let channels = Channels {
         moves: moves_mailbox,
         membership: inbox,
         reader_role,
     };
-    (context, mailboxes)
+    (context, channels)
 }
 
-/// Opens the ports of an entry.
-async fn open(context: &Arc<Context>) -> Result<Addresses, Error> {
+/// Binds the ports of an entry and starts to serve them.
+async fn open_ports(context: &Arc<Context>) -> Result<Addresses, Error> {
     let listen = context.settings.listen;
     let peers = peers::start(Arc::clone(context)).await.context(BindSnafu {
         port: "listen.peers",
@@ -195,9 +195,9 @@
     })
 }
 
-/// Starts the tasks that read declarations and instances from the platform, and returns what they
-/// keep current and what tells them how often to read.
-fn read_platform(
+/// Starts the tasks that read declarations and instances from the platform. Returns the replicas
+/// that they update and the channel that sets their reader role.
+fn start_platform_readers(
     platform: &platform::http::Client,
     settings: &Settings,
     metrics: &metrics::Metrics,
--- a/serving/src/lib.rs
+++ b/serving/src/lib.rs
@@ -1,6 +1,9 @@
-//! Tasks that own sockets and state and drive the state machines of `medlarfall-coordination`.
+//! The front tier of medlarfall: entries accept requests from callers and forward them to backend
+//! servers.
 //!
-//! [`entry::start`] runs a whole entry instance; the daemon is a thin wrapper around it.
+//! This crate holds the tasks that own sockets and shared state; the protocol decisions are made by
+//! the state machines of `medlarfall-coordination`. [`entry::start`] runs a complete entry; the
+//! daemon is a thin wrapper around it.
 
 pub mod backend;
 pub mod configs;
--- a/serving/src/modules.rs
+++ b/serving/src/modules.rs
@@ -1,4 +1,4 @@
-//! The features of an entry, one module each.
+//! The functions of an entry, one module each.
 
 pub mod admission;
 pub mod callers;
--- a/serving/src/modules/claims.rs
+++ b/serving/src/modules/claims.rs
@@ -1,7 +1,8 @@
-//! Claims on callers' identifiers: what this entry holds, and its word to other entries.
+//! Claims on callers' identifiers, which make calls to plain services run at most once.
 //!
-//! [`run`] makes a call under an identifier; [`sweep`] deletes the claims of identifiers that every
-//! entry refuses.
+//! [`Claims`] records the claims of this entry and reports their status to other entries. [`run`]
+//! makes a call under an identifier; [`cleanup`] updates the store once a call has ended; [`sweep`]
+//! deletes the claims of identifiers that have expired at every entry.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -21,18 +22,18 @@
 pub mod run;
 pub mod sweep;
 
-/// Most ended calls that this entry remembers.
+/// Maximum number of ended calls whose status this entry keeps.
 const LEDGER_CAPACITY: usize = 16_384;
 
-/// Most bytes of answers that this entry remembers.
+/// Maximum total size of the answers that this entry keeps, in bytes.
 const LEDGER_BYTES: usize = 4 << 20;
 
-/// Claims, over all entries, after which on average one entry looks for old ones: so the looks
-/// grow with the claims and not with the entries.
+/// Average number of claims, over all entries, per sweep. Sweeps are triggered by claims so that
+/// their number does not grow with the number of entries.
 const CLAIMS_PER_SWEEP: u32 = 500;
 
-/// Most claims that are cleared up in the store at once; others are left to the sweep.
-const CLEARING_LIMIT: usize = 256;
+/// Maximum number of concurrent cleanups; the sweep deletes the claims beyond it.
+const CONCURRENT_CLEANUPS: usize = 256;
 
 /// Claims of this entry.
 #[derive(Debug)]
@@ -40,11 +41,11 @@
     ledger: Mutex<Ledger>,
     ended: Notify,
     sweep_due: Notify,
-    clearing: Arc<Semaphore>,
+    cleanups: Arc<Semaphore>,
 }
 
 impl Claims {
-    /// Returns the claims of an entry that has just started: none.
+    /// Returns an empty set of claims for a newly started entry.
     #[must_use]
     pub fn new(identity: &Identity) -> Self {
         let ledger = Ledger::new(
@@ -57,28 +58,28 @@
             ledger: Mutex::new(ledger),
             ended: Notify::new(),
             sweep_due: Notify::new(),
-            clearing: Arc::new(Semaphore::new(CLEARING_LIMIT)),
+            cleanups: Arc::new(Semaphore::new(CONCURRENT_CLEANUPS)),
         }
     }
 
-    /// Returns this entry's word on a claim, waiting up to `wait` for a call to end; nothing if
-    /// the claim is not of this incarnation.
+    /// Returns the status of a claim of this entry; waits up to `wait` while its call is running.
+    /// Returns nothing if the claim was not made by this incarnation of the entry.
     pub async fn wait(&self, claimer: &Claimer, wait: Duration) -> Option<Status> {
         let deadline = Instant::now() + wait;
         loop {
             let ended = self.ended.notified();
             tokio::pin!(ended);
             ended.as_mut().enable();
-            let word = self.lock().status(claimer);
-            let waiting = word == Some(Status::Running) && Instant::now() < deadline;
+            let status = self.lock().status(claimer);
+            let waiting = status == Some(Status::Running) && Instant::now() < deadline;
             if !waiting {
-                return word;
+                return status;
             }
             let _ = tokio::time::timeout_at(deadline, ended).await;
         }
     }
 
-    /// Opens a call.
+    /// Records the start of a call and returns the claimer that identifies it.
     fn open(&self) -> Claimer {
         if rand::rng().random_ratio(1, CLAIMS_PER_SWEEP) {
             self.sweep_due.notify_one();
@@ -86,9 +87,9 @@
         self.lock().open()
     }
 
-    /// Closes a call with the word that is to be given on it.
-    fn close(&self, sequence: u64, word: Status) {
-        self.lock().close(sequence, word);
+    /// Records the end of a call with the status that is reported for it.
+    fn close(&self, sequence: u64, status: Status) {
+        self.lock().close(sequence, status);
         self.ended.notify_waiters();
     }
 
@@ -97,7 +98,7 @@
     }
 }
 
-/// Starts the sweep, once the peers' port listens on `address`.
+/// Starts the sweep task; `address` is the peers' port, which claims of this entry contain.
 pub fn start(context: &Arc<Context>, address: SocketAddr) {
     let address = Arc::from(address.to_string());
     context.claims.lock().set_address(address);
@@ -108,12 +109,12 @@
         let due = &context.claims.sweep_due;
         tokio::select! {
             () = context.stop.cancelled() => {}
-            () = sweep::keep_clear(store, window, &context.identity.name, due) => {}
+            () = sweep::run_when_due(store, window, &context.identity.name, due) => {}
         }
     });
 }
 
-/// Returns the window in which identifiers are good.
+/// Returns the window in which identifiers are valid.
 #[must_use]
 pub fn window(settings: &Services) -> Window {
     Window {
--- a/serving/src/modules/claims/cleanup.rs
+++ b/serving/src/modules/claims/cleanup.rs
@@ -1,4 +1,5 @@
-//! What is left to do in the store once a call has ended: keep its answer, or clear its claim.
+//! Update of a claim in the store once its call has ended: the answer is stored, or the claim is
+//! deleted.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,23 +9,24 @@
 use crate::context::Context;
 use crate::platform::{Error, Item, Store};
 
-/// Pause before a claim whose write was lost is looked for, so that a late write can land.
+/// Pause before a claim with a lost write is read, so that a delayed write takes effect first.
 const LATE_WRITE_PAUSE: Duration = Duration::from_secs(2);
 
 /// Pause before the first retry; it doubles with each.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// How often each step is tried.
-const TRIES: u32 = 6;
+/// Number of attempts at each call to the store.
+const ATTEMPTS: u32 = 6;
 
-/// Starts what is left of a call that has ended; over the limit it is left to the sweep.
-pub(super) fn clear(context: &Arc<Context>, key: String, call: &Call) {
-    let remainder = call.cleanup();
-    if remainder == Cleanup::Nothing {
+/// Starts the cleanup of a call that has ended. If too many are running, the sweep deletes the claim
+/// later.
+pub(super) fn start(context: &Arc<Context>, key: String, call: &Call) {
+    let cleanup = call.cleanup();
+    if cleanup == Cleanup::Nothing {
         return;
     }
-    let Ok(permit) = Arc::clone(&context.claims.clearing).try_acquire_owned() else {
-        log::warn!(key = key.as_str(); "too many claims to clear: this one is left to the sweep");
+    let Ok(permit) = Arc::clone(&context.claims.cleanups).try_acquire_owned() else {
+        log::warn!(key = key.as_str(); "too many concurrent claim cleanups; the sweep will delete this claim");
         return;
     };
     let store = context.platform.clone();
@@ -33,47 +35,48 @@
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = carry_out(&store, &key, &claimer, remainder) => {}
+            () = execute(&store, &key, &claimer, cleanup) => {}
         }
         drop(permit);
     });
 }
 
-/// Carries out what is left.
-async fn carry_out<S: Store>(store: &S, key: &str, claimer: &Claimer, remainder: Cleanup) {
-    match remainder {
+/// Executes a cleanup.
+async fn execute<S: Store>(store: &S, key: &str, claimer: &Claimer, cleanup: Cleanup) {
+    match cleanup {
         Cleanup::Nothing => {}
         Cleanup::Keep { record, expected } => {
             let value = serde_json::to_string(&record).unwrap_or_default();
-            persist(|| store.put(key, value.clone(), expected, None)).await;
+            retry(|| store.put(key, value.clone(), expected, None)).await;
         }
         Cleanup::Delete { expected } => {
-            persist(|| store.delete(key, expected)).await;
+            retry(|| store.delete(key, expected)).await;
         }
         Cleanup::Withdraw => {
             tokio::time::sleep(LATE_WRITE_PAUSE).await;
-            let found = persist(|| store.get(key)).await.flatten();
+            let found = retry(|| store.get(key)).await.flatten();
             if let Some(item) = found.filter(|item| unanswered(item, claimer)) {
-                persist(|| store.delete(key, item.revision)).await;
+                retry(|| store.delete(key, item.revision)).await;
             }
         }
     }
 }
 
-/// Returns whether an item is the claim of `claimer`, without an answer.
+/// Returns whether an item is the claim of `claimer` and has no answer.
 fn unanswered(item: &Item, claimer: &Claimer) -> bool {
     let record = serde_json::from_str::<Record>(&item.value);
     record.is_ok_and(|record| record.claimer == *claimer && record.answer.is_none())
 }
 
-/// Makes a call until the store gives an answer.
-async fn persist<T, F>(mut call: impl FnMut() -> F) -> Option<T>
+/// Repeats a call until the store responds, up to [`ATTEMPTS`] times. Returns nothing if the store
+/// refuses the call or never responds.
+async fn retry<T, F>(mut call: impl FnMut() -> F) -> Option<T>
 where
     F: Future<Output = Result<T, Error>>,
 {
-    for attempt in 0..TRIES {
+    for attempt in 0..ATTEMPTS {
         match call().await {
-            Ok(answer) => return Some(answer),
+            Ok(result) => return Some(result),
             Err(Error::Lost { .. } | Error::Unavailable { .. }) => {}
             Err(_) => return None,
         }
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -1,4 +1,8 @@
-//! Makes a call under a caller's identifier: at most once, whatever entry it is retried through.
+//! Calls under a caller's identifier, which run at most once even if the caller retries through
+//! another entry.
+//!
+//! [`run`] drives the state machine [`Call`]: it executes each action against the store, the peers
+//! and the backend servers and feeds the result back as the next input.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,24 +21,25 @@
 use crate::modules::peers::CALL_TIMEOUT;
 use crate::platform::{self, Item, Store};
 
-/// Time that the answer of a peer takes on its way.
+/// Part of a call's timeout that is reserved for the network, so that a waiting peer responds in
+/// time.
 const PEER_MARGIN: Duration = Duration::from_millis(200);
 
-/// How often a claimer is asked whose connection fails.
-const ASKINGS: usize = 2;
+/// Number of attempts to query a claimer; a pooled connection may have failed.
+const QUERY_ATTEMPTS: usize = 2;
 
 /// Makes a call under `identifier`.
 ///
 /// # Errors
 ///
-/// Returns why there is no answer, and whether the call may have run.
+/// Returns the reason that there is no answer, and whether the call may have run.
 pub async fn run(
     context: &Arc<Context>,
-    order: &mut Request,
+    request: &mut Request,
     identifier: Identifier,
 ) -> Result<Reply, Error> {
-    let key = identifier.key(&order.account, &order.service.name);
-    let call = &order.call;
+    let key = identifier.key(&request.account, &request.service.name);
+    let call = &request.call;
     let binding = identifier::binding(call.method.as_str(), &call.path, &call.body);
     let limits = Limits {
         confirmation_ttl: context.settings.services.claim_trust,
@@ -50,15 +55,17 @@
             Action::Put { record, expected } => {
                 let value = serde_json::to_string(&record).unwrap_or_default();
                 let written = context.platform.put(&key, value, expected, None);
-                input_of_put(within(context, order, written).await)
+                input_of_put(with_deadline(context, request, written).await)
             }
             Action::Read => {
                 let read = context.platform.get(&key);
-                input_of_get(within(context, order, read).await)
+                input_of_get(with_deadline(context, request, read).await)
+            }
+            Action::QueryClaimer(claimer) => {
+                Input::Status(query_claimer(context, request, &claimer).await)
             }
-            Action::QueryClaimer(claimer) => Input::Status(ask(context, order, &claimer).await),
             Action::Prepare if permit.is_some() => Input::Prepared,
-            Action::Prepare => match attempts::admit(context, order).await {
+            Action::Prepare => match attempts::admit(context, request).await {
                 Ok(admitted) => {
                     permit = Some(admitted);
                     Input::Prepared
@@ -72,7 +79,7 @@
                 let Some(permit) = permit.take() else {
                     break Outcome::NotRun(Reason::Refused);
                 };
-                let result = attempts::run(context, order, permit).await;
+                let result = attempts::run(context, request, permit).await;
                 let input = input_of_send(&result, context.settings.services.kept_answer_limit);
                 sent = Some(result);
                 input
@@ -81,17 +88,17 @@
         action = call.step(input, context.clock.now());
     };
     context.claims.close(sequence, call.status());
-    cleanup::clear(context, key, &call);
+    cleanup::start(context, key, &call);
     conclude(outcome, sent)
 }
 
-/// Bounds a call to the store by the order's deadline; over it nothing more is tried.
-async fn within<T>(
+/// Bounds a call to the store by the request's deadline; a call that exceeds it counts as lost.
+async fn with_deadline<T>(
     context: &Context,
-    order: &Request,
+    request: &Request,
     call: impl Future<Output = Result<T, platform::Error>>,
 ) -> Result<T, platform::Error> {
-    let deadline = context.clock.instant(order.deadline);
+    let deadline = context.clock.instant(request.deadline);
     let over = || platform::Error::Lost {
         reason: "the deadline is over".to_owned(),
     };
@@ -100,41 +107,42 @@
         .unwrap_or_else(|_| Err(over()))
 }
 
-/// Asks a claimer for its word.
-async fn ask(context: &Context, order: &Request, claimer: &Claimer) -> Option<Status> {
-    let wait = order.remaining(context).min(CALL_TIMEOUT);
+/// Queries the status of a claim from its claimer: this entry or a peer. Returns nothing if the
+/// claimer does not respond or has restarted.
+async fn query_claimer(context: &Context, request: &Request, claimer: &Claimer) -> Option<Status> {
+    let wait = request.remaining(context).min(CALL_TIMEOUT);
     let own = context.claims.wait(claimer, wait).await;
     if own.is_some() {
         return own;
     }
     let address = claimer.address.parse().ok()?;
-    for _ in 0..ASKINGS {
-        let timeout = order.remaining(context).min(CALL_TIMEOUT);
+    for _ in 0..QUERY_ATTEMPTS {
+        let timeout = request.remaining(context).min(CALL_TIMEOUT);
         let wait = timeout.saturating_sub(PEER_MARGIN);
         let wait_ms = u64::try_from(wait.as_millis()).unwrap_or(u64::MAX);
         let claimer = claimer.clone();
-        let asked = context
+        let response = context
             .peers
             .call(address, timeout, |peer, call| async move {
                 peer.claim(call, claimer, wait_ms).await
             })
             .await;
-        match asked {
-            Ok(word) => return word,
+        match response {
+            Ok(status) => return status,
             Err(error) => {
-                log::warn!(error = error.to_string().as_str(); "a claimer does not answer");
+                log::warn!(error = error.to_string().as_str(); "querying a claimer failed");
             }
         }
     }
     None
 }
 
-/// Returns what an answer of the store to a write means.
-fn input_of_put(answer: Result<u64, platform::Error>) -> Input {
-    match answer {
+/// Converts the result of a write to the store into an input.
+fn input_of_put(result: Result<u64, platform::Error>) -> Input {
+    match result {
         Ok(revision) => Input::Written(revision),
         Err(platform::Error::Conflict { current }) => {
-            match current.as_ref().map(held).transpose() {
+            match current.as_ref().map(parse).transpose() {
                 Ok(held) => Input::Conflict(held),
                 Err(Unreadable) => Input::Unavailable,
             }
@@ -144,32 +152,33 @@
     }
 }
 
-/// Returns what an answer of the store to a read means.
-fn input_of_get(answer: Result<Option<Item>, platform::Error>) -> Input {
-    match answer.map(|item| item.as_ref().map(held).transpose()) {
+/// Converts the result of a read from the store into an input.
+fn input_of_get(result: Result<Option<Item>, platform::Error>) -> Input {
+    match result.map(|item| item.as_ref().map(parse).transpose()) {
         Ok(Ok(held)) => Input::Found(held),
         Ok(Err(Unreadable)) | Err(_) => Input::Unavailable,
     }
 }
 
-/// A claim that this release cannot read.
+/// A stored claim that this release cannot parse.
 struct Unreadable;
 
-/// Reads a claim.
-fn held(item: &Item) -> Result<Held, Unreadable> {
+/// Parses a stored claim.
+fn parse(item: &Item) -> Result<Held, Unreadable> {
     let revision = item.revision;
     match serde_json::from_str(&item.value) {
         Ok(record) => Ok(Held { record, revision }),
         Err(error) => {
-            log::error!(key = item.key.as_str(), error = error.to_string().as_str(); "a claim cannot be read");
+            log::error!(key = item.key.as_str(), error = error.to_string().as_str(); "a stored claim cannot be parsed");
             Err(Unreadable)
         }
     }
 }
 
-/// Returns what the end of the attempts means.
-fn input_of_send(sent: &CallOutcome, limit: usize) -> Input {
-    match sent {
+/// Converts the outcome of a call to a backend server into an input; answers longer than `limit`
+/// bytes are not kept.
+fn input_of_send(outcome: &CallOutcome, limit: usize) -> Input {
+    match outcome {
         CallOutcome::Replied(reply) => Input::Replied(Answer {
             status: reply.status,
             content_type: reply.content_type.clone(),
@@ -181,7 +190,7 @@
     }
 }
 
-/// Returns what the caller is told.
+/// Returns the result for the caller.
 fn conclude(outcome: Outcome, sent: Option<CallOutcome>) -> Result<Reply, Error> {
     match (outcome, sent) {
         (Outcome::RanBefore(answer), _) => replay(answer),
@@ -192,7 +201,7 @@
     }
 }
 
-/// Returns a kept answer as a reply.
+/// Returns the stored answer of an earlier call as a reply.
 fn replay(answer: Answer) -> Result<Reply, Error> {
     let status = answer.status;
     let body = answer.body.as_ref().and_then(identifier::decode_body);
--- a/serving/src/modules/claims/sweep.rs
+++ b/serving/src/modules/claims/sweep.rs
@@ -1,7 +1,7 @@
-//! Deletes the claims of identifiers that every entry refuses, at a bounded rate.
+//! Deletes the claims of identifiers that have expired at every entry, at a bounded rate.
 //!
-//! A cursor in the store names the last bucket that was swept. Whoever sweeps holds a lease, so
-//! that one entry sweeps at a time however many there are.
+//! Claims are stored in buckets by time. A cursor in the store holds the number of the last swept
+//! bucket. The sweeping entry holds a key under a lease, so that only one entry sweeps at a time.
 
 use std::time::{Duration, SystemTime};
 
@@ -10,44 +10,44 @@
 
 use crate::platform::{Error, Lease, Store};
 
-/// Key that holds the number of the last bucket that was swept.
+/// Key of the number of the last swept bucket.
 const CURSOR: &str = "claims-swept";
 
-/// Key that is held, under a lease, by the entry that sweeps.
+/// Key that the sweeping entry holds under a lease.
 const SWEEPER: &str = "claims-sweeper";
 
-/// Shortest pause between two sweeps of one entry.
+/// Minimum pause between two sweeps by one entry.
 const INTERVAL: Duration = Duration::from_mins(1);
 
-/// Pause between two calls to the store.
+/// Pause between two calls to the store, which bounds their rate.
 const CALL_PAUSE: Duration = Duration::from_millis(20);
 
-/// How long a sweeper that has died keeps others from sweeping.
+/// Time for which the lease of a crashed sweeper keeps other entries from sweeping.
 const LEASE_TTL: Duration = Duration::from_secs(30);
 
-/// Calls between two renewals of the lease.
+/// Number of deletions between two renewals of the lease.
 const CALLS_PER_RENEWAL: usize = 100;
 
-/// Sweeps whenever it is due.
-pub(super) async fn keep_clear<S: Store>(store: &S, window: Window, name: &str, due: &Notify) {
+/// Sweeps each time that `due` is notified.
+pub(super) async fn run_when_due<S: Store>(store: &S, window: Window, name: &str, due: &Notify) {
     loop {
         due.notified().await;
         let now = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
             .unwrap_or_default();
         if let Err(error) = sweep(store, window, now, name).await {
-            log::warn!(error = error.to_string().as_str(); "old claims could not be swept");
+            log::warn!(error = error.to_string().as_str(); "sweeping expired claims failed; the next sweep resumes at the cursor");
         }
         tokio::time::sleep(INTERVAL).await;
     }
 }
 
-/// Sweeps the buckets between the cursor and the newest one that every entry refuses; `now` is the
-/// time since the Unix epoch.
+/// Sweeps the buckets after the cursor up to the newest one that has expired at every entry; `now`
+/// is the time since the Unix epoch. The first sweep only writes the cursor.
 ///
 /// # Errors
 ///
-/// Returns the first error of the store; the next sweep goes on from the cursor.
+/// Returns the first error of the store; the next sweep resumes at the cursor.
 pub async fn sweep<S: Store>(
     store: &S,
     window: Window,
@@ -78,7 +78,7 @@
     swept
 }
 
-/// Sweeps each bucket after the cursor and moves the cursor.
+/// Deletes the claims in each bucket after the cursor, and advances the cursor bucket by bucket.
 async fn sweep_buckets<S: Store>(
     store: &S,
     lease: Lease,
--- a/serving/src/modules/declarations.rs
+++ b/serving/src/modules/declarations.rs
@@ -1,7 +1,8 @@
-//! Declarations in force at this entry: the highest revision seen of each service.
+//! Declarations in force at this entry: the highest revision received of each service.
 //!
-//! They come from the platform's store and from peers. A revision below the highest seen, or a
-//! key that has vanished, is reported and not obeyed: a service ends with a revision that says so.
+//! Declarations come from the platform's store and from peers. A lower revision or a missing key is
+//! reported and ignored, since a store that lost data would show the same: a service is deleted only
+//! by a newer revision that is marked as deleted.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -29,18 +30,19 @@
 /// Longest pause after a failed call to the store.
 const RETRY_PAUSE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time after which the first list is checked by another; it doubles with each further one. A list
-/// that was out of date is made good this way, although the watch goes on from a later revision.
-const FIRST_CHECK: Duration = Duration::from_secs(1);
+/// Time until the declarations are listed again after the first list; it doubles with each further
+/// list. This corrects an outdated list, whose missing changes the watch does not return because it
+/// starts at a later revision.
+const RELIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest time between two lists while watching.
-const CHECK_LIMIT: Duration = Duration::from_secs(64);
+const RELIST_INTERVAL_LIMIT: Duration = Duration::from_secs(64);
 
-/// The highest revisions seen.
+/// This entry's replica of the declarations.
 pub type DeclarationReplica = Replica<u64, Arc<Service>, Declarations>;
 
 impl DeclarationReplica {
-    /// Notes that the newest declarations that can be had have been read.
+    /// Records that the declarations have been read from the store or from a peer that has read them.
     pub fn mark_loaded(&self) {
         if !self.view().borrow().loaded {
             self.update_view(|declarations| declarations.loaded = true);
@@ -48,7 +50,7 @@
     }
 }
 
-/// Declarations in force.
+/// The declarations in force.
 #[derive(Clone, Debug, Default)]
 pub struct Declarations {
     /// Declarations by service.
@@ -57,7 +59,7 @@
     pub deleted: BTreeMap<Arc<str>, Arc<Service>>,
     /// Whether the declarations have been read at least once.
     pub loaded: bool,
-    /// Whether the store answered the last call.
+    /// Whether the last call to the store succeeded.
     pub store_reachable: bool,
 }
 
@@ -68,11 +70,11 @@
         self.services.get(name)
     }
 
-    /// Returns the revision in force of a service, also of a deleted one.
+    /// Returns the revision in force of a service, which may be deleted.
     #[must_use]
     pub fn revision(&self, name: &str) -> Option<u64> {
-        let held = self.services.get(name).or_else(|| self.deleted.get(name));
-        held.map(|service| service.revision)
+        let service = self.services.get(name).or_else(|| self.deleted.get(name));
+        service.map(|service| service.revision)
     }
 }
 
@@ -88,7 +90,7 @@
     }
 }
 
-/// Returns the record of a declaration.
+/// Returns a replica's record of a declaration.
 #[must_use]
 pub fn record(service: Service) -> Record<u64, Arc<Service>> {
     Record {
@@ -98,20 +100,20 @@
     }
 }
 
-/// Where declarations are read from.
+/// Parameters of the task that reads declarations.
 #[derive(Debug)]
 pub struct Source<S> {
     /// The platform's store.
     pub store: S,
-    /// How the platform is called.
+    /// Settings of calls to the platform.
     pub settings: Platform,
-    /// Whether this entry watches the store.
+    /// Role of this entry, which decides whether it watches the store.
     pub reader_role: watch::Receiver<ReaderRole>,
-    /// Counts what the store returned and was not obeyed.
+    /// Number of values from the store that were ignored, by reason.
     pub refusals: Family<Refusal, Counter>,
 }
 
-/// Starts the task that keeps a replica current from the store.
+/// Starts the task that updates a replica from the store.
 pub fn start<S: Store>(source: Source<S>, replica: DeclarationReplica, stop: CancellationToken) {
     let mut reader = Reader {
         source,
@@ -121,7 +123,7 @@
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = reader.keep_current() => {}
+            () = reader.run() => {}
         }
     });
 }
@@ -135,8 +137,8 @@
 }
 
 impl<S: Store> Reader<S> {
-    /// Reads the store as this entry's reader_role says, for ever.
-    async fn keep_current(&mut self) {
+    /// Reads the store as the reader role of this entry requires; never returns.
+    async fn run(&mut self) {
         loop {
             let reader_role = *self.source.reader_role.borrow_and_update();
             let read = match reader_role {
@@ -144,8 +146,8 @@
                 ReaderRole::Poll(interval) => self.poll(interval).await,
             };
             if let Err(error) = read {
-                log::warn!(error = error.to_string().as_str(); "the store cannot be read; the declarations in force stay");
-                self.reached(false);
+                log::warn!(error = error.to_string().as_str(); "reading declarations from the store failed; the declarations in force are kept");
+                self.set_store_reachable(false);
                 let jitter = rand::rng().random_range(0.5..1.5);
                 tokio::time::sleep(self.pause.mul_f64(jitter)).await;
                 self.pause = (self.pause * 2).min(RETRY_PAUSE_LIMIT);
@@ -153,21 +155,22 @@
         }
     }
 
-    /// Lists the declarations, then follows their changes until a call fails or the reader_role changes.
+    /// Lists the declarations, then watches their changes until a call fails or the reader role
+    /// changes.
     async fn follow(&mut self) -> Result<(), Error> {
-        let mut check = FIRST_CHECK;
+        let mut relist = RELIST_INTERVAL;
         loop {
             let revision = self.list().await?;
             let mut reader_role = self.source.reader_role.clone();
             tokio::select! {
-                failed = self.watch(revision) => return failed,
+                result = self.watch(revision) => return result,
                 () = changed(&mut reader_role) => return Ok(()),
-                () = tokio::time::sleep(check) => check = (check * 2).min(CHECK_LIMIT),
+                () = tokio::time::sleep(relist) => relist = (relist * 2).min(RELIST_INTERVAL_LIMIT),
             }
         }
     }
 
-    /// Follows changes after a revision until a call fails.
+    /// Watches changes after a revision until a call fails.
     async fn watch(&self, mut revision: u64) -> Result<(), Error> {
         let Source {
             store, settings, ..
@@ -176,20 +179,20 @@
             let changes = store
                 .watch(PREFIX, revision, settings.watch_timeout)
                 .await?;
-            self.reached(true);
+            self.set_store_reachable(true);
             for change in &changes.changes {
                 match &change.value {
-                    Some(value) => self.take(&change.key, value),
-                    None => self.refuse("missing", &change.key),
+                    Some(value) => self.accept(&change.key, value),
+                    None => self.reject("missing", &change.key),
                 }
             }
             revision = changes.revision;
         }
     }
 
-    /// Lists the declarations once, then lets the interval pass or the reader_role change.
+    /// Waits for the interval and lists the declarations, or returns early if the reader role changes.
     async fn poll(&mut self, interval: Duration) -> Result<(), Error> {
-        // At its start an entry reads the store at once; later its peers tell it of changes.
+        // A starting entry reads the store immediately; later its peers send it the changes.
         if self.replica.view().borrow().loaded {
             tokio::select! {
                 () = changed(&mut self.source.reader_role) => return Ok(()),
@@ -203,55 +206,55 @@
     async fn list(&mut self) -> Result<u64, Error> {
         let Listing { items, revision } = self.source.store.list(PREFIX).await?;
         for item in &items {
-            self.take(&item.key, &item.value);
+            self.accept(&item.key, &item.value);
         }
         let listed: HashSet<&str> = items
             .iter()
             .filter_map(|item| item.key.strip_prefix(PREFIX))
             .collect();
         for key in self.replica.unlisted(|key| listed.contains(key)) {
-            self.refuse("missing", &key);
+            self.reject("missing", &key);
         }
         self.pause = RETRY_PAUSE;
-        self.reached(true);
+        self.set_store_reachable(true);
         self.replica.mark_loaded();
         Ok(revision)
     }
 
-    /// Offers a stored declaration to the replica, and reports it if it is not obeyed.
-    fn take(&self, key: &str, value: &str) {
+    /// Offers a stored declaration to the replica, and reports one that is not accepted.
+    fn accept(&self, key: &str, value: &str) {
         let Ok(service) = serde_json::from_str::<Service>(value) else {
-            return self.refuse("unreadable", key);
+            return self.reject("unreadable", key);
         };
         if key.strip_prefix(PREFIX) != Some(&service.name) {
-            return self.refuse("unreadable", key);
+            return self.reject("unreadable", key);
         }
         match self.replica.offer(record(service)) {
             Verdict::Newer | Verdict::Same => {}
-            Verdict::Older { .. } => self.refuse("older", key),
-            Verdict::Fork => self.refuse("fork", key),
+            Verdict::Older { .. } => self.reject("older", key),
+            Verdict::Fork => self.reject("fork", key),
         }
     }
 
-    /// Reports a value of the store that is not obeyed.
-    fn refuse(&self, reason: &'static str, key: &str) {
+    /// Counts and logs a value of the store that is ignored.
+    fn reject(&self, reason: &'static str, key: &str) {
         self.source
             .refusals
             .get_or_create(&Refusal { reason })
             .inc();
-        log::warn!(key, reason; "the store returned what is not the newest seen; the declaration in force stays");
+        log::warn!(key, reason; "ignored an outdated, missing or invalid declaration in the store; the declaration in force is kept");
     }
 
-    /// Notes whether the store answered.
-    fn reached(&self, reached: bool) {
-        if self.replica.view().borrow().store_reachable != reached {
+    /// Records whether the last call to the store succeeded.
+    fn set_store_reachable(&self, reachable: bool) {
+        if self.replica.view().borrow().store_reachable != reachable {
             self.replica
-                .update_view(|declarations| declarations.store_reachable = reached);
+                .update_view(|declarations| declarations.store_reachable = reachable);
         }
     }
 }
 
-/// Waits until the reader_role changes; for ever if nobody can change it any more.
+/// Waits until the reader role changes; never returns if its sender was dropped.
 async fn changed(reader_role: &mut watch::Receiver<ReaderRole>) {
     if reader_role.changed().await.is_err() {
         std::future::pending::<()>().await;
--- a/serving/src/modules/directory.rs
+++ b/serving/src/modules/directory.rs
@@ -1,7 +1,8 @@
-//! Instances that this entry knows of: backend servers, and the other entries' peers' ports.
+//! Directory of known instances: the backend servers, and the addresses of the other entries'
+//! peers' ports.
 //!
-//! They stem from the platform's instance list. One entry in each failure domain reads it often,
-//! a second one now and then, and the others learn of changes from their peers.
+//! The source is the platform's instance list. In each failure domain one entry reads the list
+//! frequently and a second one less often; the others receive changes from their peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,24 +19,24 @@
 
 pub use reader::{Source, start};
 
-/// Order of what was seen of one instance.
+/// Revision of an observation of one instance; the highest one is in force.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
 pub struct Stamp {
-    /// Number that grows with each change that an entry sees.
+    /// Number that increases with each observed change.
     pub counter: u64,
-    /// Number of the entry that saw the change, which settles ties.
+    /// Number of the entry that observed the change, which breaks ties.
     pub writer: u64,
 }
 
-/// An instance as it was last seen, or nothing if it was taken off the list.
+/// An instance as it was last listed, or nothing if it has been removed from the list.
 pub type Observation = Option<Arc<Instance>>;
 
-/// What was last seen of each instance.
+/// This entry's replica of the instance list.
 pub type InstanceReplica = Replica<Stamp, Observation, Directory>;
 
-/// Backend servers by service, and entries.
+/// Backend servers by service, and addresses of entries.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     services: BTreeMap<Arc<str>, Vec<Arc<Server>>>,
@@ -43,7 +44,7 @@
 }
 
 impl Directory {
-    /// Returns the backend servers of a service, leaving ones included.
+    /// Returns the backend servers of a service, including leaving ones.
     #[must_use]
     pub fn servers(&self, service: &str) -> &[Arc<Server>] {
         self.services.get(service).map_or(&[], Vec::as_slice)
@@ -54,19 +55,19 @@
         self.services.values().flatten()
     }
 
-    /// Returns the backend server of a name.
+    /// Returns the backend server with a name.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<&Arc<Server>> {
         self.iter().find(|server| server.name.as_ref() == name)
     }
 
-    /// Returns the entries on the list that are not leaving, with their peers' ports.
+    /// Returns the listed entries that are not leaving, with the addresses of their peers' ports.
     #[must_use]
     pub fn entries(&self) -> &BTreeMap<Arc<str>, SocketAddr> {
         &self.entries
     }
 
-    /// Takes an instance out.
+    /// Removes an instance.
     fn remove(&mut self, name: &str) {
         self.entries.remove(name);
         for servers in self.services.values_mut() {
@@ -75,7 +76,7 @@
         self.services.retain(|_, servers| !servers.is_empty());
     }
 
-    /// Puts a backend server in.
+    /// Adds a backend server.
     fn insert(&mut self, server: Server) {
         let service = Arc::clone(&server.service);
         let servers = self.services.entry(service).or_default();
--- a/serving/src/modules/directory/reader.rs
+++ b/serving/src/modules/directory/reader.rs
@@ -1,4 +1,8 @@
-//! Reading the platform's instance list, and telling changes apart from readings that lag.
+//! Reads the platform's instance list and distinguishes changes from outdated reads.
+//!
+//! A read that differs from the replica may be a new change or an outdated response of the platform.
+//! It counts as a change if it differs from this entry's own previous read, or if several reads in a
+//! row differ from the replica.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -13,25 +17,25 @@
 use crate::modules::replication::ReaderRole;
 use crate::platform::{Instance, Store};
 
-/// Readings in a row that must differ from what peers say before they are believed.
-const READINGS: u32 = 3;
+/// Number of consecutive reads that must differ from the replica before they replace it.
+const CONFIRMING_READS: u32 = 3;
 
-/// Every how many intervals the second reader of a failure domain reads.
-const SECOND_INTERVALS: u32 = 4;
+/// Time between two reads of the secondary reader, in intervals.
+const SECONDARY_INTERVALS: u32 = 4;
 
-/// Longest pause after failed readings, in intervals.
+/// Longest pause after failed reads, in intervals.
 const PAUSE_INTERVALS: u32 = 4;
 
-/// Where the instance list is read from.
+/// Parameters of the task that reads the instance list.
 #[derive(Debug)]
 pub struct Source<S> {
     /// The platform.
     pub store: S,
-    /// How the platform is called.
+    /// Settings of calls to the platform.
     pub settings: Platform,
-    /// Whether this entry reads the list often.
+    /// Role of this entry, which decides how often it reads the list.
     pub reader_role: watch::Receiver<ReaderRole>,
-    /// Number of this entry in stamps.
+    /// Number of this entry in the stamps of its observations.
     pub writer: u64,
 }
 
@@ -47,7 +51,7 @@
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = reader.keep_current() => {}
+            () = reader.run() => {}
         }
     });
 }
@@ -56,36 +60,36 @@
 struct Reader<S> {
     source: Source<S>,
     replica: InstanceReplica,
-    /// The last reading.
+    /// Result of the last successful read.
     last: HashMap<String, Arc<Instance>>,
-    /// How many readings in a row an instance has differed from what peers say.
+    /// Number of consecutive reads in which an instance has differed from the replica.
     differing: HashMap<String, u32>,
-    /// Failed readings in a row.
+    /// Number of consecutive failed reads.
     failures: u32,
 }
 
 impl<S: Store> Reader<S> {
-    /// Reads the list again and again; what was seen stays in force while it cannot be read.
-    async fn keep_current(&mut self) {
+    /// Reads the list periodically; never returns. The replica keeps its state while reads fail.
+    async fn run(&mut self) {
         loop {
             let reader_role = *self.source.reader_role.borrow_and_update();
             match self.source.store.instances().await {
-                Ok(instances) => self.compare(instances, reader_role),
+                Ok(instances) => self.reconcile(instances, reader_role),
                 Err(error) => {
                     self.failures += 1;
-                    log::warn!(error = error.to_string().as_str(); "the instance list cannot be read");
+                    log::warn!(error = error.to_string().as_str(); "reading the platform's instance list failed; the known instances are kept");
                 }
             }
-            self.rest(reader_role).await;
+            self.wait(reader_role).await;
         }
     }
 
-    /// Lets time pass until the next reading, or until the reader_role changes.
-    async fn rest(&mut self, reader_role: ReaderRole) {
+    /// Waits until the next read is due.
+    async fn wait(&mut self, reader_role: ReaderRole) {
         let interval = self.source.settings.instances_interval;
         let pause = match reader_role {
             ReaderRole::Primary => interval,
-            ReaderRole::Secondary => interval * SECOND_INTERVALS,
+            ReaderRole::Secondary => interval * SECONDARY_INTERVALS,
             ReaderRole::Poll(pause) => pause,
         };
         let pause = pause.max(interval * self.failures.min(PAUSE_INTERVALS));
@@ -95,21 +99,21 @@
         }
     }
 
-    /// Waits until this entry has to read more often than each `pause`.
+    /// Waits until the reader role requires reads more often than every `pause`.
     async fn promoted(&mut self, pause: Duration) {
         let interval = self.source.settings.instances_interval;
-        let more = |reader_role: &ReaderRole| match reader_role {
+        let more_often = |reader_role: &ReaderRole| match reader_role {
             ReaderRole::Primary => pause > interval,
-            ReaderRole::Secondary => pause > interval * SECOND_INTERVALS,
+            ReaderRole::Secondary => pause > interval * SECONDARY_INTERVALS,
             ReaderRole::Poll(_) => false,
         };
-        if self.failures > 0 || self.source.reader_role.wait_for(more).await.is_err() {
+        if self.failures > 0 || self.source.reader_role.wait_for(more_often).await.is_err() {
             std::future::pending::<()>().await;
         }
     }
 
-    /// Takes what a reading changes.
-    fn compare(&mut self, instances: Vec<Instance>, reader_role: ReaderRole) {
+    /// Updates the replica from a read of the list.
+    fn reconcile(&mut self, instances: Vec<Instance>, reader_role: ReaderRole) {
         self.failures = 0;
         let listed: HashMap<String, Arc<Instance>> = instances
             .into_iter()
@@ -121,25 +125,30 @@
             .chain(self.replica.unlisted(|name| listed.contains_key(name)))
             .collect();
         for name in names {
-            self.judge(&name, listed.get(&name), reader_role);
+            self.reconcile_instance(&name, listed.get(&name), reader_role);
         }
         self.last = listed;
     }
 
-    /// Takes an instance as listed if this is news, and not an older state than peers have seen.
-    fn judge(&mut self, name: &str, listed: Option<&Arc<Instance>>, reader_role: ReaderRole) {
-        let held: Option<Observation> = self.replica.get(name);
-        let unknown = held.is_none();
-        if listed == held.flatten().as_ref() {
+    /// Updates the replica if an instance has changed on the list and the read is not outdated.
+    fn reconcile_instance(
+        &mut self,
+        name: &str,
+        listed: Option<&Arc<Instance>>,
+        reader_role: ReaderRole,
+    ) {
+        let known: Option<Observation> = self.replica.get(name);
+        let unknown = known.is_none();
+        if listed == known.flatten().as_ref() {
             self.differing.remove(name);
             return;
         }
-        // A change between two readings of one's own is news; a first reading may lag behind.
-        let watches = !matches!(reader_role, ReaderRole::Poll(_)) && !self.last.is_empty();
-        let changed = watches && self.last.get(name) != listed;
+        // A difference between two consecutive reads is a change; the first read may be outdated.
+        let consecutive = !matches!(reader_role, ReaderRole::Poll(_)) && !self.last.is_empty();
+        let changed = consecutive && self.last.get(name) != listed;
         let differing = self.differing.entry(name.to_owned()).or_default();
         *differing += 1;
-        if unknown || changed || *differing >= READINGS {
+        if unknown || changed || *differing >= CONFIRMING_READS {
             self.differing.remove(name);
             let counter = self.replica.revision(name).unwrap_or_default().counter + 1;
             let writer = self.source.writer;
--- a/serving/src/modules/membership.rs
+++ b/serving/src/modules/membership.rs
@@ -1,4 +1,5 @@
-//! The task that drives [`medlarfall_coordination::membership`] over the peers' port.
+//! Membership of entries: the task that drives the protocol of
+//! [`medlarfall_coordination::membership`] over the peers' port and publishes its view.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -17,17 +18,18 @@
 /// Timeout of a call that carries a message.
 const CALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Messages that wait for the task; more are dropped, as a network would.
-const WAITING: usize = 256;
+/// Capacity of the task's command queue. Received messages beyond it are dropped; the protocol
+/// tolerates lost messages.
+const QUEUE_CAPACITY: usize = 256;
 
-/// The entries that are held to be up. A hint: nothing that must hold may rest on it.
+/// The view of the membership protocol. It is a hint: no guarantee may depend on it.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Membership {
-    /// The other entries of the own failure domain.
+    /// The other entries of this entry's failure domain.
     pub neighbours: Vec<Member>,
     /// A few entries in each other failure domain.
     pub contacts: Vec<Member>,
-    /// Entries that are known to be down.
+    /// Entries that are considered down.
     pub down: Vec<Member>,
 }
 
@@ -38,18 +40,18 @@
     }
 }
 
-/// What the task is asked.
+/// A command to the task.
 #[derive(Debug)]
 enum Command {
-    /// Takes a message and returns the answers to its sender.
+    /// Processes a message from a peer and returns the responses to its sender.
     Receive(Message, oneshot::Sender<Vec<Message>>),
-    /// Takes the answers to a message of this entry.
-    Answers(Vec<Message>),
-    /// Tells peers that this entry leaves.
+    /// Processes the responses to a message of this entry.
+    Responses(Vec<Message>),
+    /// Announces to peers that this entry is leaving.
     Leave,
 }
 
-/// How the other modules reach the task.
+/// Handle by which other modules use the task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     commands: mpsc::Sender<Command>,
@@ -57,43 +59,43 @@
 }
 
 impl Handle {
-    /// Returns the entries that are held to be up.
+    /// Returns the current view and its changes.
     #[must_use]
     pub fn view(&self) -> watch::Receiver<Arc<Membership>> {
         self.view.clone()
     }
 
-    /// Takes a message of a peer and returns the answers to it.
+    /// Processes a message from a peer and returns the responses to it.
     pub async fn receive(&self, message: Message) -> Vec<Message> {
-        let (answer, answers) = oneshot::channel();
+        let (sender, responses) = oneshot::channel();
         if self
             .commands
-            .try_send(Command::Receive(message, answer))
+            .try_send(Command::Receive(message, sender))
             .is_err()
         {
             return Vec::new();
         }
-        answers.await.unwrap_or_default()
+        responses.await.unwrap_or_default()
     }
 
-    /// Tells some peers that this entry leaves, so that they need not find out.
+    /// Announces to some peers that this entry is leaving, so that they need not detect it.
     pub async fn leave(&self) {
-        // A task that has ended has nothing to tell any more.
+        // The send fails only if the task has ended and can announce nothing.
         let _ = self.commands.send(Command::Leave).await;
     }
 }
 
-/// What the task is started with.
+/// Receiving end of the commands and sending end of the view, for the task.
 #[derive(Debug)]
 pub struct Inbox {
     commands: mpsc::Receiver<Command>,
     view: watch::Sender<Arc<Membership>>,
 }
 
-/// Returns the handle of a task and what it is to be started with.
+/// Returns the handle of a task and the channel ends that the task is started with.
 #[must_use]
 pub fn channel() -> (Handle, Inbox) {
-    let (commands, received) = mpsc::channel(WAITING);
+    let (commands, received) = mpsc::channel(QUEUE_CAPACITY);
     let sender = watch::Sender::new(Arc::default());
     let view = sender.subscribe();
     let inbox = Inbox {
@@ -103,7 +105,7 @@
     (Handle { commands, view }, inbox)
 }
 
-/// Starts the task; `address` is where others reach this entry's peers' port.
+/// Starts the task; `address` is the advertised address of this entry's peers' port.
 pub fn start(context: Arc<Context>, inbox: Inbox, address: SocketAddr) {
     let entry = &context.settings.entry;
     let me = Member {
@@ -127,7 +129,8 @@
     });
 }
 
-/// Returns a number that is higher at each start: the time in milliseconds.
+/// Returns an incarnation that increases with each start of the entry: milliseconds since the Unix
+/// epoch.
 fn incarnation() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
@@ -135,7 +138,7 @@
     })
 }
 
-/// The task.
+/// State of the task.
 struct Task {
     members: Members,
     context: Arc<Context>,
@@ -143,7 +146,7 @@
 }
 
 impl Task {
-    /// Drives the protocol for ever.
+    /// Drives the protocol; never returns.
     async fn run(mut self) {
         let mut ticks = interval(TICK);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -152,7 +155,7 @@
         loop {
             let sends = tokio::select! {
                 _ = ticks.tick() => self.members.tick(self.context.clock.now()),
-                Some(command) = self.inbox.commands.recv() => self.obey(command),
+                Some(command) = self.inbox.commands.recv() => self.execute(command),
                 Ok(()) = directory.changed() => {
                     self.seed();
                     Vec::new()
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Takes the seeds from the settings and the instance list.
+    /// Sets the seeds of the protocol from the settings and the instance list.
     fn seed(&mut self) {
         let listed = Arc::clone(&self.context.directory.borrow());
         let settings = self.context.settings.peers.seeds.iter();
@@ -174,20 +177,20 @@
         self.members.set_seeds(seeds.into_iter().collect());
     }
 
-    /// Carries out a command.
-    fn obey(&mut self, command: Command) -> Vec<Send> {
+    /// Executes a command and returns the messages to send.
+    fn execute(&mut self, command: Command) -> Vec<Send> {
         let now = self.context.clock.now();
         match command {
-            Command::Receive(message, answer) => {
+            Command::Receive(message, responses) => {
                 let sender = message.from.address;
                 let sends = self.members.receive(message, now);
-                let (back, others): (Vec<_>, Vec<_>) =
+                let (to_sender, others): (Vec<_>, Vec<_>) =
                     sends.into_iter().partition(|send| send.to == sender);
-                // The peer may have given up on the answer.
-                let _ = answer.send(back.into_iter().map(|send| send.message).collect());
+                // The call of the peer may have timed out.
+                let _ = responses.send(to_sender.into_iter().map(|send| send.message).collect());
                 others
             }
-            Command::Answers(messages) => messages
+            Command::Responses(messages) => messages
                 .into_iter()
                 .flat_map(|message| self.members.receive(message, now))
                 .collect(),
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Sends a message and takes the answers to it.
+    /// Sends a message and queues the responses to it.
     fn dispatch(&self, send: Send) {
         let context = Arc::clone(&self.context);
         tokio::spawn(async move {
@@ -204,17 +207,17 @@
                 .call(send.to, CALL_TIMEOUT, |client, deadline| async move {
                     client.gossip(deadline, send.message).await
                 });
-            if let Ok(answers) = call.await {
-                // A full queue drops answers, as a network would.
+            if let Ok(responses) = call.await {
+                // A full queue drops the responses; the protocol tolerates lost messages.
                 let _ = context
                     .membership
                     .commands
-                    .try_send(Command::Answers(answers));
+                    .try_send(Command::Responses(responses));
             }
         });
     }
 
-    /// Publishes the members if they have changed.
+    /// Publishes the view if it has changed.
     fn publish(&self) {
         let membership = Membership {
             neighbours: self.members.neighbours().cloned().collect(),
--- a/serving/src/platform/http.rs
+++ b/serving/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The adapter to the platform's HTTP protocol.
+//! Client of the platform over its HTTP protocol.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::telemetry;
 use crate::utils::http::{self, Failure, Pool};
 
-/// Header by which an entry names itself to the platform.
+/// Header that carries the entry's name in calls to the platform.
 const CALLER: &str = "medlarfall-caller";
 
 /// A client of the platform.
@@ -26,26 +26,26 @@
     timeout: Duration,
 }
 
-/// Answer to a write.
+/// Response to a successful write.
 #[derive(Deserialize)]
 struct Written {
     revision: u64,
 }
 
-/// Answer to a write that was refused.
+/// Response to a write whose expected revision did not match.
 #[derive(Deserialize)]
 struct Refused {
     current: Option<Item>,
 }
 
-/// Answer to a lease call.
+/// Response to a call that grants, renews or revokes a lease.
 #[derive(Deserialize)]
 struct Granted {
     lease: Lease,
 }
 
 impl Client {
-    /// Returns a client of the platform at `address` that names itself `caller`.
+    /// Returns a client of the platform at `address` that sends `caller` as its name.
     #[must_use]
     pub fn new(address: SocketAddr, caller: Arc<str>, timeout: Duration) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends a call and returns its status and body.
+    /// Sends a call and returns the status and body of the response.
     async fn call(
         &self,
         method: Method,
@@ -70,8 +70,8 @@
             .header(CALLER, self.caller.as_ref());
         let request = http::body(request, body).map_err(|error| unavailable(&error))?;
         let sent = self.pool.fetch(request).in_span(telemetry::hop("store"));
-        let answer = tokio::time::timeout(timeout, sent).await;
-        match answer {
+        let response = tokio::time::timeout(timeout, sent).await;
+        match response {
             Ok(Ok((parts, body))) => Ok((parts.status, body)),
             Ok(Err(Failure::NotSent { reason })) => Err(Error::Unavailable { reason }),
             Ok(Err(Failure::Lost { reason })) => Err(Error::Lost { reason }),
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Sends a read and returns its answer.
+    /// Sends a read and returns the parsed response.
     async fn read<T: DeserializeOwned>(&self, path: &str, timeout: Duration) -> Result<T, Error> {
         let (status, body) = self.call(Method::GET, path, String::new(), timeout).await?;
         match status {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Sends a lease call.
+    /// Sends a lease call and returns the lease.
     async fn lease(&self, method: Method, path: &str) -> Result<Lease, Error> {
         let (status, body) = self.call(method, path, String::new(), self.timeout).await?;
         match status {
@@ -191,12 +191,12 @@
     }
 }
 
-/// Returns the error of a call that was refused with `status`.
+/// Returns the error of a call that got the error response `status`.
 fn refused(status: StatusCode) -> Error {
     match status {
         StatusCode::GONE => Error::LeaseEnded,
         StatusCode::PAYLOAD_TOO_LARGE => Error::TooLarge,
-        // Something between here and the store may have failed after the call took effect.
+        // A proxy between this entry and the store may have failed after the call took effect.
         status if status.is_server_error() && status != StatusCode::SERVICE_UNAVAILABLE => {
             Error::Lost {
                 reason: format!("it answered {status}"),
@@ -208,14 +208,14 @@
     }
 }
 
-/// Returns the error of a call that could not be written.
+/// Returns the error of a call whose request could not be built.
 fn unavailable(error: &hyper::http::Error) -> Error {
     Error::Unavailable {
         reason: error.to_string(),
     }
 }
 
-/// Reads an answer; one that cannot be read counts as lost.
+/// Parses a response; an unreadable response counts as lost.
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Error> {
     serde_json::from_slice(body).map_err(|error| Error::Lost {
         reason: format!("its answer could not be read: {error}"),
--- a/serving/src/telemetry.rs
+++ b/serving/src/telemetry.rs
@@ -1,4 +1,5 @@
-//! Logs as JSON lines on standard error, and spans as log lines of the target `span`.
+//! Logging and tracing: log lines are JSON on standard error, and spans are log lines of the target
+//! `span`.
 
 use std::borrow::Cow;
 
@@ -8,10 +9,10 @@
 use medlarfall_runtime::logging::{self, Output};
 use rand::Rng;
 
-/// Returns the span of a request that has just come in.
+/// Returns the root span of an incoming request.
 ///
-/// A caller's W3C trace context is continued as it says; of the other requests one in `every` is
-/// traced.
+/// A W3C trace context sent by the caller is continued with its sampling decision; one in `every` of
+/// the other requests is sampled.
 pub fn request(traceparent: Option<&str>, every: u64) -> Span {
     let parent = traceparent.and_then(SpanContext::decode_w3c_traceparent);
     let context = parent.unwrap_or_else(|| {
@@ -21,12 +22,12 @@
     Span::root("caller", context)
 }
 
-/// Returns the span of a hop, below the span that the present task runs in.
+/// Returns the span of a call to another process, as a child of the current task's span.
 pub fn hop(name: &'static str) -> Span {
     Span::enter_with_local_parent(name)
 }
 
-/// Returns the W3C trace context of the span that the present task runs in.
+/// Returns the W3C trace context of the current task's span.
 #[must_use]
 pub fn traceparent() -> Option<String> {
     SpanContext::current_local_parent().map(|context| context.encode_w3c_traceparent())
@@ -38,10 +39,10 @@
     SpanContext::from_span(span).map(|context| context.encode_w3c_traceparent())
 }
 
-/// Writes each span as a log line.
-struct Spans;
+/// Reporter that writes each span as a log line.
+struct LogReporter;
 
-impl Reporter for Spans {
+impl Reporter for LogReporter {
     fn report(&mut self, spans: Vec<SpanRecord>) {
         for span in &spans {
             write(span);
@@ -49,14 +50,15 @@
     }
 }
 
-/// Starts logging at `level` on standard error and reporting spans; a second call changes nothing.
+/// Starts logging at `level` on standard error and the reporting of spans; further calls have no
+/// effect.
 pub fn start(level: LevelFilter) {
     if logging::start(level, Output::Stderr) {
-        fastrace::set_reporter(Spans, Config::default());
+        fastrace::set_reporter(LogReporter, Config::default());
     }
 }
 
-/// Writes one span.
+/// Writes a span as a log line.
 fn write(span: &SpanRecord) {
     let properties: Vec<(&str, &str)> = span
         .properties
--- a/serving/src/utils.rs
+++ b/serving/src/utils.rs
@@ -1,4 +1,4 @@
-//! Helpers that several modules share.
+//! Utilities used by several modules.
 
 pub mod cas;
 pub mod mac;
--- a/serving/src/utils/cas.rs
+++ b/serving/src/utils/cas.rs
@@ -1,5 +1,7 @@
-//! One change of a value in the platform's store: compare-and-swap, settled by reading back if its
-//! answer is lost.
+//! Changes of values in the platform's store by compare-and-swap.
+//!
+//! If the response to a write is lost, [`update`] reads the value back; the change identifier in the
+//! value shows whether the write took effect.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -8,50 +10,50 @@
 
 use crate::platform::{self, Item, Store};
 
-/// How often a write whose answer was lost is settled by reading back.
-const SETTLE_ATTEMPTS: usize = 3;
+/// Number of times that a change is read and written before its result counts as unknown.
+const ATTEMPTS: usize = 3;
 
-/// A value that says which change wrote it.
+/// A stored value that contains the identifier of the change that wrote it.
 pub trait Value: Clone + Default + DeserializeOwned + Serialize + Send + Sync {
-    /// Returns the identifier of the change that wrote the value.
+    /// Returns the identifier of the change that wrote this value.
     fn change_id(&self) -> &str;
 }
 
-/// Why a change was not made.
+/// Error of a change that was not made or whose result is unknown.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// Another change came first.
+    /// The value has changed since the operator read it.
     #[snafu(display(
         "`{key}` is at revision {newer}, not {seen}: read it, then send your change for that revision"
     ))]
     Conflict {
         /// The key.
         key: String,
-        /// Revision that the operator has seen.
+        /// Revision that the operator read.
         seen: u64,
         /// Revision in the store.
         newer: u64,
     },
-    /// There is nothing to change.
+    /// The key does not exist.
     #[snafu(display("there is no `{key}` in the store: check the name"))]
     Absent {
         /// The key.
         key: String,
     },
-    /// The store did not take the change.
+    /// The store did not accept the change.
     #[snafu(display(
         "the change was not stored: {reason}; send it again when the platform is back"
     ))]
     NotStored {
-        /// What happened.
+        /// Cause.
         reason: String,
     },
-    /// It could not be settled whether the change was stored.
+    /// It is unknown whether the change was stored.
     #[snafu(display(
         "it is not known whether the change was stored: {reason}; send it again with the same change id"
     ))]
     Unknown {
-        /// What happened.
+        /// Cause.
         reason: String,
     },
 }
@@ -68,12 +70,13 @@
     }
 }
 
-/// Changes the value under `key` to what `next` makes of it, or returns what stands there if this
-/// very change was made before.
+/// Replaces the value of `key` with the result of `next`. Returns the stored value unchanged if
+/// `change_id` has already written it.
 ///
 /// # Errors
 ///
-/// Returns the refusal of `next`, that the store did not take the change, or that this is not known.
+/// Returns the error of `next`, or that the store did not accept the change, or that its result is
+/// unknown.
 pub async fn update<S: Store, V: Value>(
     store: &S,
     key: &str,
@@ -81,7 +84,7 @@
     next: impl Fn(Option<V>) -> Result<V, Error> + Send,
 ) -> Result<V, Error> {
     let mut sent = false;
-    for _ in 0..SETTLE_ATTEMPTS {
+    for _ in 0..ATTEMPTS {
         let item = match store.get(key).await {
             Ok(item) => item,
             Err(error) if sent => return Err(unknown(&error)),
@@ -110,7 +113,7 @@
     })
 }
 
-/// Returns the value in an item.
+/// Parses the value of an item.
 fn read<V: Value>(item: &Item) -> Result<V, Error> {
     serde_json::from_str(&item.value).map_err(|error| not_stored(&error))
 }
@@ -122,7 +125,7 @@
     }
 }
 
-/// Returns the error of a change of which it is not known whether it was stored.
+/// Returns the error of a change with an unknown result.
 fn unknown(error: &impl ToString) -> Error {
     Error::Unknown {
         reason: error.to_string(),
