--- a/serving/src/modules/peers.rs
+++ b/serving/src/modules/peers.rs
@@ -1,8 +1,8 @@
-//! The peers' port: remote procedure calls between entries.
+//! Remote procedure calls between entries, over the peers' port.
 //!
-//! A connection is authenticated by [`handshake`] in both directions before any call is read.
-//! Calls are JSON, so that entries of neighbouring releases read each other's messages: a new field
-//! is optional and a new method is answered with an error by an older entry.
+//! [`handshake`] authenticates both sides of a connection before any call is read. Calls are encoded
+//! as JSON, so that entries of adjacent releases can communicate: new fields are optional, and an
+//! older entry responds to a new method with an error.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -40,79 +40,79 @@
 
 mod handshake;
 
-/// Longest time to connect to a peer and authenticate.
+/// Timeout for connecting to a peer, and for the handshake of an accepted connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Default deadline of a call.
+/// Default timeout of a call.
 pub const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest message, in bytes.
+/// Maximum length of a message, in bytes.
 const MESSAGE_LIMIT: usize = 4 << 20;
 
-/// Calls that one connection runs at once.
+/// Maximum number of concurrent calls on one connection.
 const CONCURRENT_CALLS: usize = 64;
 
-/// What an entry says of itself.
+/// Identity of an entry, as it reports it to its peers.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Identity {
     /// Name of the entry.
     pub name: Arc<str>,
-    /// Identifier of this run of the entry; it grows with each restart.
+    /// Identifier of this run of the entry; it increases with each restart.
     pub incarnation: Arc<str>,
     /// Failure domain that the entry runs in.
     pub failure_domain: Arc<str>,
 }
 
-/// What entries ask of each other.
+/// Remote procedure calls between entries.
 #[tarpc::service]
 pub trait Peer {
-    /// Returns what the entry says of itself.
+    /// Returns the identity of the entry.
     async fn identity() -> Identity;
-    /// Takes the record of a move that is braked or has ended.
+    /// Delivers the record of a move that is braked or has ended.
     async fn moved(record: rollout::Record);
 
-    /// Returns the entry's word on a claim of its own, waiting up to `wait_ms` for a call to end;
-    /// nothing if the claim is not of this incarnation.
+    /// Returns the status of a claim of the entry; waits up to `wait_ms` while its call is running.
+    /// Returns nothing if the claim was not made by this incarnation of the entry.
     async fn claim(claimer: Claimer, wait_ms: u64) -> Option<Status>;
-    /// Takes a message of membership and returns the answers to its sender.
+    /// Delivers a message of the membership protocol and returns the responses to its sender.
     async fn gossip(message: membership::Message) -> Vec<membership::Message>;
-    /// Takes a message of an exchange of declarations.
+    /// Delivers a message of an exchange of declarations and returns the response.
     async fn declarations(message: DeclarationsMessage) -> DeclarationsResponse;
-    /// Takes a message of an exchange of instances.
+    /// Delivers a message of an exchange of instances and returns the response.
     async fn instances(message: InstancesMessage) -> InstancesResponse;
-    /// Takes the planned stops that a peer knows of and returns those known here.
+    /// Delivers the planned stops known to the caller and returns those known to the entry.
     async fn stops(known: Vec<Stop>) -> Vec<Stop>;
-    /// Returns where a revision is in force.
+    /// Returns the entries at which a revision is in force.
     async fn confirm(question: Question) -> Confirmation;
 }
 
-/// Why a peer could not be asked.
+/// Error of a call to a peer.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// The connection could not be set up; nothing was asked.
+    /// The connection could not be established, so the call was not sent.
     #[snafu(display(
         "the peer at {address} cannot be reached: {reason}; check its address and the peers' key"
     ))]
     Unreachable {
         /// Address of the peer.
         address: SocketAddr,
-        /// What happened.
+        /// Cause.
         reason: String,
     },
-    /// The call failed or its answer was lost.
+    /// The call failed or its response was lost.
     #[snafu(display(
         "the peer at {address} gave no answer: {reason}; it may have acted on the call"
     ))]
     NoAnswer {
         /// Address of the peer.
         address: SocketAddr,
-        /// What happened.
+        /// Cause.
         reason: String,
     },
 }
 
-/// Bytes exchanged with peers.
+/// Byte counts of the connections with peers.
 #[derive(Debug, Default)]
 pub struct Traffic {
     received: AtomicU64,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Connections to peers, one per address.
+/// Pool of connections to peers, one per address.
 #[derive(Clone, Debug)]
 pub struct Peers {
     key: Secret,
@@ -139,7 +139,7 @@
 }
 
 impl Peers {
-    /// Returns a pool without connections.
+    /// Returns an empty pool.
     #[must_use]
     pub fn new(key: Secret) -> Self {
         Self {
@@ -149,17 +149,17 @@
         }
     }
 
-    /// Returns the bytes exchanged with peers, on connections in both directions.
+    /// Returns the byte counts of all connections, including those opened by peers.
     #[must_use]
     pub fn traffic(&self) -> &Arc<Traffic> {
         &self.traffic
     }
 
-    /// Makes a call to the peer at `address`, over a connection that is kept.
+    /// Calls the peer at `address` over a pooled connection.
     ///
     /// # Errors
     ///
-    /// Returns whether the peer may have acted on the call.
+    /// Returns the cause, and whether the peer may have executed the call.
     pub async fn call<T, F>(
         &self,
         address: SocketAddr,
@@ -172,9 +172,9 @@
         let client = self.client(address).await?;
         let mut context = context::current();
         context.deadline = Instant::now() + timeout;
-        let answer = call(client, context).in_span(telemetry::hop("peer")).await;
-        answer.map_err(|error| {
-            self.forget(address);
+        let response = call(client, context).in_span(telemetry::hop("peer")).await;
+        response.map_err(|error| {
+            self.disconnect(address);
             Error::NoAnswer {
                 address,
                 reason: error.to_string(),
@@ -182,10 +182,10 @@
         })
     }
 
-    /// Returns the connection to a peer, or sets one up.
+    /// Returns the pooled connection to a peer, or opens one.
     async fn client(&self, address: SocketAddr) -> Result<PeerClient, Error> {
-        let held = self.lock().get(&address).cloned();
-        if let Some(client) = held {
+        let pooled = self.lock().get(&address).cloned();
+        if let Some(client) = pooled {
             return Ok(client);
         }
         let unreachable = |reason: String| Error::Unreachable { address, reason };
@@ -209,8 +209,8 @@
         Ok(stream)
     }
 
-    /// Drops the connection to a peer, so that the next call sets up a new one.
-    fn forget(&self, address: SocketAddr) {
+    /// Removes the connection to a peer from the pool, so that the next call opens a new one.
+    fn disconnect(&self, address: SocketAddr) {
         self.lock().remove(&address);
     }
 
@@ -219,13 +219,13 @@
     }
 }
 
-/// Answers peers.
+/// Handler of the calls from peers.
 #[derive(Clone)]
-struct Handle {
+struct Handler {
     context: Arc<Context>,
 }
 
-impl Peer for Handle {
+impl Peer for Handler {
     async fn stops(self, _: context::Context, known: Vec<Stop>) -> Vec<Stop> {
         self.context.stops.take(known, self.context.clock);
         self.context.stops.stored()
@@ -273,7 +273,7 @@
     }
 }
 
-/// Starts the peers' port and returns its address.
+/// Starts to serve the peers' port and returns its address.
 ///
 /// # Errors
 ///
@@ -291,7 +291,7 @@
     Ok(address)
 }
 
-/// Accepts connections for ever; they end with this future.
+/// Accepts connections; never returns. Dropping the future closes the connections.
 async fn accept(listener: TcpListener, context: Arc<Context>) {
     let mut connections = JoinSet::new();
     loop {
@@ -306,33 +306,33 @@
     }
 }
 
-/// Serves one connection once the other side has shown the peers' key.
+/// Authenticates and serves one connection.
 async fn connection(mut stream: TcpStream, context: Arc<Context>) {
     let _ = stream.set_nodelay(true);
     let key = &context.settings.keys.peers;
-    let shaken = tokio::time::timeout(CONNECT_TIMEOUT, handshake::accept(&mut stream, key)).await;
-    let refused = match shaken {
+    let result = tokio::time::timeout(CONNECT_TIMEOUT, handshake::accept(&mut stream, key)).await;
+    let refused = match result {
         Ok(Ok(())) => None,
         Ok(Err(error)) => Some(error.to_string()),
         Err(_) => Some("timeout".to_owned()),
     };
     if let Some(reason) = refused {
-        log::warn!(reason = reason.as_str(); "a connection on the peers' port was refused");
+        log::warn!(reason = reason.as_str(); "handshake failed: refused a connection on the peers' port");
         return;
     }
     let transport = transport(stream, Arc::clone(context.peers.traffic()));
-    let handle = Handle { context };
+    let handler = Handler { context };
     BaseChannel::with_defaults(transport)
-        .execute(handle.serve())
+        .execute(handler.serve())
         .for_each_concurrent(CONCURRENT_CALLS, |call| call)
         .await;
 }
 
-/// A transport of JSON messages over the byte stream `S`.
+/// Transport of JSON messages over the byte stream `S`.
 type Transport<S, Item, SinkItem> =
     serde_transport::Transport<S, Item, SinkItem, Json<Item, SinkItem>>;
 
-/// Returns a transport over an authenticated connection.
+/// Returns a transport over an authenticated connection that counts its bytes in `traffic`.
 fn transport<Item, SinkItem>(
     stream: TcpStream,
     traffic: Arc<Traffic>,
--- a/serving/src/modules/peers/handshake.rs
+++ b/serving/src/modules/peers/handshake.rs
@@ -1,7 +1,8 @@
-//! Mutual authentication of two entries by the peers' key, before any call is read.
+//! Mutual authentication of two entries by the shared peers' key.
 //!
-//! The accepting side sends a challenge; the connecting side answers with its own challenge and a
-//! code over both; the accepting side proves itself with a code over both in turn.
+//! The accepting side sends a challenge. The connecting side responds with its own challenge and an
+//! authentication code over both challenges; the accepting side responds with its code over both.
+//! Each side's code has a different label, so that neither code can be replayed as the other.
 
 use std::io;
 
@@ -12,55 +13,61 @@
 use crate::configs::keys::Secret;
 use crate::utils::mac;
 
-/// First bytes of every connection: the protocol and its version.
+/// First bytes in both directions of every connection: the protocol and its version.
 const GREETING: [u8; 8] = *b"medlar01";
 
 /// Length of a challenge, in bytes.
-const CHALLENGE: usize = 16;
+const CHALLENGE_LENGTH: usize = 16;
 
-/// Label of the code by which the connecting side proves itself.
+/// Label in the authentication code of the connecting side.
 const CONNECTING: &[u8] = b"connecting";
 
-/// Label of the code by which the accepting side proves itself.
+/// Label in the authentication code of the accepting side.
 const ACCEPTING: &[u8] = b"accepting";
 
-/// Authenticates a connection that this side has set up.
+/// Authenticates a connection opened by this entry.
 ///
 /// # Errors
 ///
-/// Returns that the other side speaks another version or does not hold the key.
+/// Returns an I/O error, or that the peer uses another protocol version or another key.
 pub(super) async fn connect(stream: &mut TcpStream, key: &Secret) -> io::Result<()> {
     stream.write_all(&GREETING).await?;
     expect_greeting(stream).await?;
-    let mut theirs = [0; CHALLENGE];
-    stream.read_exact(&mut theirs).await?;
-    let ours: [u8; CHALLENGE] = rand::rng().random();
-    stream.write_all(&ours).await?;
+    let mut peer_challenge = [0; CHALLENGE_LENGTH];
+    stream.read_exact(&mut peer_challenge).await?;
+    let own_challenge: [u8; CHALLENGE_LENGTH] = rand::rng().random();
+    stream.write_all(&own_challenge).await?;
     stream
-        .write_all(&mac::code(key, &[CONNECTING, &theirs, &ours]))
+        .write_all(&mac::code(
+            key,
+            &[CONNECTING, &peer_challenge, &own_challenge],
+        ))
         .await?;
-    check(stream, key, &[ACCEPTING, &theirs, &ours]).await
+    expect_code(stream, key, &[ACCEPTING, &peer_challenge, &own_challenge]).await
 }
 
-/// Authenticates a connection that the other side has set up.
+/// Authenticates a connection opened by a peer.
 ///
 /// # Errors
 ///
-/// Returns that the other side speaks another version or does not hold the key.
+/// Returns an I/O error, or that the peer uses another protocol version or another key.
 pub(super) async fn accept(stream: &mut TcpStream, key: &Secret) -> io::Result<()> {
     stream.write_all(&GREETING).await?;
-    let ours: [u8; CHALLENGE] = rand::rng().random();
-    stream.write_all(&ours).await?;
+    let own_challenge: [u8; CHALLENGE_LENGTH] = rand::rng().random();
+    stream.write_all(&own_challenge).await?;
     expect_greeting(stream).await?;
-    let mut theirs = [0; CHALLENGE];
-    stream.read_exact(&mut theirs).await?;
-    check(stream, key, &[CONNECTING, &ours, &theirs]).await?;
+    let mut peer_challenge = [0; CHALLENGE_LENGTH];
+    stream.read_exact(&mut peer_challenge).await?;
+    expect_code(stream, key, &[CONNECTING, &own_challenge, &peer_challenge]).await?;
     stream
-        .write_all(&mac::code(key, &[ACCEPTING, &ours, &theirs]))
+        .write_all(&mac::code(
+            key,
+            &[ACCEPTING, &own_challenge, &peer_challenge],
+        ))
         .await
 }
 
-/// Reads the greeting and refuses another protocol or version.
+/// Reads the greeting and returns an error if the protocol or its version differs.
 async fn expect_greeting(stream: &mut TcpStream) -> io::Result<()> {
     let mut greeting = [0; GREETING.len()];
     stream.read_exact(&mut greeting).await?;
@@ -71,8 +78,8 @@
     Err(io::Error::new(io::ErrorKind::InvalidData, message))
 }
 
-/// Reads a code and refuses a wrong one.
-async fn check(stream: &mut TcpStream, key: &Secret, parts: &[&[u8]]) -> io::Result<()> {
+/// Reads an authentication code and returns an error if it is not the code of `parts`.
+async fn expect_code(stream: &mut TcpStream, key: &Secret, parts: &[&[u8]]) -> io::Result<()> {
     let mut code = [0; mac::LENGTH];
     stream.read_exact(&mut code).await?;
     if mac::verify(key, parts, &code) {
--- a/serving/src/modules/replication.rs
+++ b/serving/src/modules/replication.rs
@@ -1,4 +1,8 @@
-//! Values that all entries hold alike: read from the platform by a few, passed on between peers.
+//! Replication of declarations and instances to all entries.
+//!
+//! A few entries of each failure domain read the platform. Each entry pushes new records to some
+//! peers and periodically compares its [`Replica`] with that of a peer, so that all replicas converge
+//! on the highest revision of each key.
 
 use std::hash::Hash;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,28 +17,28 @@
     DeclarationsMessage, DeclarationsResponse, InstancesMessage, InstancesResponse, Response, start,
 };
 
-/// Groups of new records kept for the task that passes them on; more are left to the comparison
-/// with peers.
+/// Capacity of the queue of updates to be pushed, in groups of records. Updates beyond it reach the
+/// peers by comparison.
 const UPDATE_QUEUE_CAPACITY: usize = 1024;
 
-/// What an entry does to keep a replica current.
+/// Role of an entry in reading the platform on behalf of its failure domain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ReaderRole {
-    /// It is the first of its failure domain that follows the platform and passes changes on.
+    /// Watches the store and reads the instance list frequently.
     Primary,
-    /// It follows the platform as well, in case the first does not.
+    /// Watches the store too and reads the instance list less often, in case the primary fails.
     Secondary,
-    /// It learns from its peers and reads the platform once in a long while.
+    /// Receives changes from its peers and reads the platform only at this long interval.
     Poll(Duration),
 }
 
-/// What the modules of an entry read of a replica.
+/// Data derived from the records of a replica, for the other modules to read.
 pub trait View<R, T>: Clone + Default {
-    /// Takes a record that is newer than the one of its key.
+    /// Updates the view with a record that is newer than the previous one of its key.
     fn apply(&mut self, record: &Record<R, T>);
 }
 
-/// Values by key, of which only the highest revision counts, and the view of them.
+/// Records of the highest revision of each key, the view of them, and a stream of updates.
 #[derive(Debug)]
 pub struct Replica<R, T, V> {
     ledger: Arc<Mutex<Ledger<R, T>>>,
@@ -73,8 +77,8 @@
     T: Clone + PartialEq,
     V: View<R, T>,
 {
-    /// Returns the view, which changes with each new record; what it holds already counts as a
-    /// change that has not been seen.
+    /// Returns a receiver of the view, which changes with each new record. The current view is marked
+    /// as unseen.
     #[must_use]
     pub fn view(&self) -> watch::Receiver<Arc<V>> {
         let mut view = self.view.subscribe();
@@ -82,13 +86,13 @@
         view
     }
 
-    /// Returns the groups of records that are new from now on.
+    /// Returns a receiver of the groups of records that are added from now on.
     #[must_use]
     pub fn updates(&self) -> broadcast::Receiver<Vec<Record<R, T>>> {
         self.updates.subscribe()
     }
 
-    /// Changes the view where it does not stem from records.
+    /// Changes parts of the view that are not derived from records.
     pub fn update_view(&self, change: impl FnOnce(&mut V)) {
         self.view.send_modify(|view| change(Arc::make_mut(view)));
     }
@@ -99,13 +103,13 @@
         self.lock().get(key).map(|record| record.value.clone())
     }
 
-    /// Returns the highest revision seen of a key.
+    /// Returns the highest revision received of a key.
     #[must_use]
     pub fn revision(&self, key: &str) -> Option<R> {
         self.lock().get(key).map(|record| record.revision)
     }
 
-    /// Returns the keys that are held and not listed.
+    /// Returns the keys of the replica for which `listed` is false.
     #[must_use]
     pub fn unlisted(&self, listed: impl Fn(&str) -> bool) -> Vec<String> {
         self.lock()
@@ -115,7 +119,7 @@
             .collect()
     }
 
-    /// Takes a record if it is newer, and says what became of it.
+    /// Adds a record if it is newer, and returns how its revision compares.
     pub fn offer(&self, record: Record<R, T>) -> Verdict<R> {
         let mut ledger = self.lock();
         let verdict = ledger.offer(record.clone());
@@ -131,22 +135,22 @@
         self.lock().start_exchange()
     }
 
-    /// Answers a message of an exchange with a peer.
+    /// Merges the records in a peer's message of an exchange and returns the response to it.
     #[must_use]
     pub fn respond(&self, message: Message<R, T>) -> Message<R, T> {
         let mut ledger = self.lock();
-        let (answer, newer) = ledger.respond(message);
+        let (response, newer) = ledger.respond(message);
         if !newer.is_empty() {
             self.publish(newer);
         }
-        answer
+        response
     }
 
-    /// Puts new records into the view and hands them to the task that passes them on; the caller
-    /// holds the ledger, so that the view changes in the ledger's order.
+    /// Updates the view with new records and queues them to be pushed. The caller holds the ledger's
+    /// lock, so that the view changes in the same order as the ledger.
     fn publish(&self, newer: Vec<Record<R, T>>) {
         self.update_view(|view| newer.iter().for_each(|record| view.apply(record)));
-        // Without a task that passes them on there is nobody to tell.
+        // The send fails only if there is no receiver that pushes updates.
         let _ = self.updates.send(newer);
     }
 
--- a/serving/src/modules/replication/task.rs
+++ b/serving/src/modules/replication/task.rs
@@ -1,4 +1,5 @@
-//! The tasks that share out the reading of the platform and pass records on to peers.
+//! Tasks that assign the reader role of this entry, push updates to peers and compare replicas with
+//! them.
 
 use std::hash::Hash;
 use std::net::SocketAddr;
@@ -17,50 +18,51 @@
 use crate::context::Context;
 use crate::modules::membership::Membership;
 
-/// Neighbours that new records are passed on to at once.
+/// Number of neighbours that an update is pushed to.
 const FANOUT: usize = 3;
 
-/// Time between two comparisons with a peer.
+/// Mean time between two comparisons with a peer.
 const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between two comparisons of an entry that has read nothing yet.
+/// Mean time between two comparisons before the declarations have been loaded.
 const START_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Peers that an entry that has read nothing yet compares with.
+/// Number of peers in a comparison before the declarations have been loaded.
 const START_PEERS: usize = 3;
 
-/// Calls of one comparison at most.
-const STEPS: usize = 4;
+/// Maximum number of calls in one exchange with a peer.
+const EXCHANGE_LIMIT: usize = 4;
 
-/// Records passed on in one message at most.
-const CARRIED: usize = 64;
+/// Number of records from which on no further group of records is added to a push.
+const BATCH_SIZE: usize = 64;
 
-/// Time between two readings of the platform by an entry that leaves it to others, for each entry
-/// of its failure domain, so that their calls together do not grow with the entries.
+/// Time between two reads of the platform by an entry in the role [`ReaderRole::Poll`], multiplied by
+/// the number of entries in its failure domain, so that their total rate does not grow with their
+/// number.
 const POLL_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Timeout of a call.
+/// Timeout of a call to a peer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// An answer of a peer to a message of an exchange.
+/// Response of a peer to a message of an exchange.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Response<R, T> {
-    /// Whether the peer has read what there is.
+    /// Whether the peer has loaded the records from the platform or from its own peers.
     pub loaded: bool,
-    /// The answer.
+    /// The next message of the exchange.
     pub message: Message<R, T>,
 }
 
-/// Starts the tasks; `reader_role` tells the readers of the platform what is theirs.
+/// Starts the tasks; `reader_role` sets the role of the tasks that read the platform.
 pub fn start(context: &Arc<Context>, reader_role: watch::Sender<ReaderRole>) {
     let stop = context.stop.clone();
     let context = Arc::clone(context);
     tokio::spawn(async move {
         let tasks = async {
             tokio::join!(
-                assign(&context, &reader_role),
-                pass_on(&context, &context.declaration_replica, ask_declarations),
-                pass_on(&context, &context.instance_replica, ask_instances),
+                assign_reader_role(&context, &reader_role),
+                push_updates(&context, &context.declaration_replica, send_declarations),
+                push_updates(&context, &context.instance_replica, send_instances),
                 compare(&context),
             )
         };
@@ -71,8 +73,9 @@
     });
 }
 
-/// Shares out the reading of the platform among the entries of the failure domain.
-async fn assign(context: &Context, reader_role: &watch::Sender<ReaderRole>) {
+/// Sets the reader role by this entry's rank among the entries of its failure domain, each time that
+/// the membership changes.
+async fn assign_reader_role(context: &Context, reader_role: &watch::Sender<ReaderRole>) {
     let own = &context.settings.entry.name;
     let mut membership = context.membership.view();
     loop {
@@ -95,11 +98,11 @@
     }
 }
 
-/// Passes new records on to a few peers, which pass them on in turn.
-async fn pass_on<R, T, V, F>(
+/// Pushes new records to a few peers, which push them to others in turn.
+async fn push_updates<R, T, V, F>(
     context: &Arc<Context>,
     replica: &Replica<R, T, V>,
-    ask: impl Fn(Arc<Context>, SocketAddr, Message<R, T>) -> F,
+    send: impl Fn(Arc<Context>, SocketAddr, Message<R, T>) -> F,
 ) where
     R: Copy + Hash + Ord + Send + 'static,
     T: Clone + PartialEq + Send + 'static,
@@ -110,16 +113,16 @@
     loop {
         let mut records = match updates.recv().await {
             Ok(records) => records,
-            // What was missed is found by comparison.
+            // The missed updates reach the peers by comparison.
             Err(RecvError::Lagged(_)) => continue,
             Err(RecvError::Closed) => return,
         };
-        while let (true, Ok(more)) = (records.len() < CARRIED, updates.try_recv()) {
+        while let (true, Ok(more)) = (records.len() < BATCH_SIZE, updates.try_recv()) {
             records.extend(more);
         }
         for address in targets(&context.membership.view().borrow()) {
             let message = Message::Records(newest(&records));
-            tokio::spawn(ask(Arc::clone(context), address, message));
+            tokio::spawn(send(Arc::clone(context), address, message));
         }
     }
 }
@@ -137,7 +140,8 @@
         .collect()
 }
 
-/// Returns the peers that new records are passed on to.
+/// Returns the addresses of random peers to push to: neighbours and a contact in another failure
+/// domain.
 fn targets(membership: &Membership) -> Vec<SocketAddr> {
     let mut random = rand::rng();
     let neighbours = membership
@@ -150,7 +154,8 @@
     targets
 }
 
-/// Compares with a peer from time to time, and with several until this entry has read something.
+/// Compares the replicas with a random peer periodically, or with several peers more often until the
+/// declarations have been loaded.
 async fn compare(context: &Arc<Context>) {
     loop {
         let loaded = context.declarations.borrow().loaded;
@@ -162,18 +167,19 @@
         let jitter = rand::rng().random_range(0.5..1.5);
         tokio::time::sleep(pause.mul_f64(jitter)).await;
         if loaded {
-            let peer = some_peer(&context.membership.view().borrow());
+            let peer = random_peer(&context.membership.view().borrow());
             if let Some(address) = peer {
                 compare_with(context, address).await;
             }
         } else {
-            learn_from_peers(context).await;
+            load_from_peers(context).await;
         }
     }
 }
 
-/// Compares with several peers, and counts as loaded if one of them was.
-async fn learn_from_peers(context: &Arc<Context>) {
+/// Compares the replicas with several peers and marks the declarations as loaded if one of the peers
+/// has loaded them.
+async fn load_from_peers(context: &Arc<Context>) {
     let membership = Arc::clone(&context.membership.view().borrow());
     let peers = membership
         .up()
@@ -187,8 +193,8 @@
     }
 }
 
-/// Returns a peer, of another failure domain one time in four.
-fn some_peer(membership: &Membership) -> Option<SocketAddr> {
+/// Returns the address of a random peer; one in four is in another failure domain.
+fn random_peer(membership: &Membership) -> Option<SocketAddr> {
     let mut random = rand::rng();
     let near = membership.neighbours.choose(&mut random);
     let far = membership.contacts.choose(&mut random);
@@ -200,27 +206,28 @@
     peer.map(|member| member.address)
 }
 
-/// Compares all topics with a peer, and returns whether the peer has read the declarations.
+/// Compares all replicas with a peer, and returns whether the peer has loaded the declarations.
 async fn compare_with(context: &Arc<Context>, address: SocketAddr) -> bool {
     let loaded = exchange(
         context,
         &context.declaration_replica,
         address,
-        ask_declarations,
+        send_declarations,
     )
     .await;
     if loaded.is_some() {
-        exchange(context, &context.instance_replica, address, ask_instances).await;
+        exchange(context, &context.instance_replica, address, send_instances).await;
     }
     loaded.unwrap_or_default()
 }
 
-/// Makes a replica equal at both sides, and returns whether the peer has read what there is.
+/// Reconciles a replica with that of a peer, and returns whether the peer has loaded its records.
+/// Returns nothing if the peer does not respond.
 async fn exchange<R, T, V, F>(
     context: &Arc<Context>,
     replica: &Replica<R, T, V>,
     address: SocketAddr,
-    ask: impl Fn(Arc<Context>, SocketAddr, Message<R, T>) -> F,
+    send: impl Fn(Arc<Context>, SocketAddr, Message<R, T>) -> F,
 ) -> Option<bool>
 where
     R: Copy + Hash + Ord,
@@ -230,10 +237,10 @@
 {
     let mut message = replica.start_exchange();
     let mut loaded = true;
-    for _ in 0..STEPS {
-        let answer = ask(Arc::clone(context), address, message).await?;
-        loaded = answer.loaded;
-        message = replica.respond(answer.message);
+    for _ in 0..EXCHANGE_LIMIT {
+        let response = send(Arc::clone(context), address, message).await?;
+        loaded = response.loaded;
+        message = replica.respond(response.message);
         if matches!(message, Message::Done) {
             break;
         }
@@ -241,8 +248,8 @@
     Some(loaded)
 }
 
-/// Sends a message of an exchange of declarations.
-async fn ask_declarations(
+/// Sends a message of an exchange of declarations and returns the response.
+async fn send_declarations(
     context: Arc<Context>,
     address: SocketAddr,
     message: DeclarationsMessage,
@@ -255,8 +262,8 @@
     call.await.ok()
 }
 
-/// Sends a message of an exchange of instances.
-async fn ask_instances(
+/// Sends a message of an exchange of instances and returns the response.
+async fn send_instances(
     context: Arc<Context>,
     address: SocketAddr,
     message: InstancesMessage,
@@ -269,16 +276,16 @@
     call.await.ok()
 }
 
-/// A message of an exchange of declarations.
+/// Message of an exchange of declarations.
 pub type DeclarationsMessage = Message<u64, Arc<medlarfall_schema::declaration::Service>>;
 
-/// An answer in an exchange of declarations.
+/// Response in an exchange of declarations.
 pub type DeclarationsResponse = Response<u64, Arc<medlarfall_schema::declaration::Service>>;
 
-/// A message of an exchange of instances.
+/// Message of an exchange of instances.
 pub type InstancesMessage =
     Message<crate::modules::directory::Stamp, crate::modules::directory::Observation>;
 
-/// An answer in an exchange of instances.
+/// Response in an exchange of instances.
 pub type InstancesResponse =
     Response<crate::modules::directory::Stamp, crate::modules::directory::Observation>;
