--- a/serving/tests/claims_sweep.rs
+++ b/serving/tests/claims_sweep.rs
@@ -1,4 +1,4 @@
-//! The sweep of old claims, against a store in memory.
+//! The sweep of expired claims, against an in-memory store whose calls may fail.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -14,7 +14,7 @@
 };
 const NOW: Duration = Duration::from_hours(500_000);
 
-/// A store that fails after a number of calls.
+/// An in-memory store whose calls fail after a given number.
 #[derive(Clone, Debug, Default)]
 struct Memory {
     state: Arc<Mutex<State>>,
@@ -31,17 +31,17 @@
 
 impl Memory {
     fn call(&self) -> Result<MutexGuard<'_, State>, Error> {
-        let mut state = self.state.lock().expect("no test panics under it");
+        let mut state = self.state.lock().expect("the lock is not poisoned");
         state.calls += 1;
         if state.fails_after.is_some_and(|calls| state.calls > calls) {
-            let reason = "the test says so".to_owned();
+            let reason = "injected fault".to_owned();
             return Err(Error::Unavailable { reason });
         }
         Ok(state)
     }
 
     fn claims(&self) -> usize {
-        let state = self.state.lock().expect("no test panics under it");
+        let state = self.state.lock().expect("the lock is not poisoned");
         let keys = state.items.keys();
         keys.filter(|key| key.starts_with(identifier::PREFIX))
             .count()
@@ -136,21 +136,22 @@
     }
 }
 
-/// Puts a claim made `age` ago into the store.
+/// Stores a claim that was made `age` ago.
 async fn claim(store: &Memory, age: Duration) {
     let bucket = identifier::bucket(NOW.saturating_sub(age));
     let key = format!("{}{}", identifier::prefix(bucket), age.as_secs());
     let written = store.put(&key, "{}".to_owned(), 0, None).await;
-    written.expect("it is written");
+    written.expect("the claim is written");
 }
 
-/// Returns a store whose cursor is older than the oldest of four claims, one of which is good.
+/// Returns a store with four claims, one of which has not expired, and a cursor older than all of
+/// them.
 async fn filled() -> Memory {
     let store = Memory::default();
     let before = NOW.saturating_sub(Duration::from_mins(30));
     sweep(&store, WINDOW, before, "entry-0")
         .await
-        .expect("the cursor is set");
+        .expect("the cursor is written");
     for minutes in [63, 70, 80] {
         claim(&store, Duration::from_mins(minutes)).await;
     }
@@ -159,52 +160,52 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_claims_past_the_window_are_swept() {
+async fn only_expired_claims_are_swept() {
     let store = filled().await;
     sweep(&store, WINDOW, NOW, "entry-0")
         .await
-        .expect("it is swept");
+        .expect("the sweep succeeds");
     assert_eq!(store.claims(), 1);
     let later = NOW + Duration::from_mins(10);
     sweep(&store, WINDOW, later, "entry-1")
         .await
-        .expect("it is swept");
+        .expect("the sweep succeeds");
     assert_eq!(store.claims(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn while_one_entry_sweeps_the_others_leave_it_alone() {
+async fn only_one_entry_sweeps_at_a_time() {
     let store = filled().await;
     let lease = store.grant(Duration::from_secs(30)).await.expect("a lease");
     let held = store
         .put("claims-sweeper", "entry-1".to_owned(), 0, Some(lease))
         .await;
-    held.expect("it is held");
+    held.expect("the sweeper's key is written");
     sweep(&store, WINDOW, NOW, "entry-0")
         .await
-        .expect("nothing is done");
+        .expect("the sweep is skipped");
     assert_eq!(store.claims(), 4);
-    store.revoke(lease).await.expect("it is given up");
+    store.revoke(lease).await.expect("the lease is revoked");
     sweep(&store, WINDOW, NOW, "entry-0")
         .await
-        .expect("it is swept");
+        .expect("the sweep succeeds");
     assert_eq!(store.claims(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_sweep_that_fails_anywhere_is_finished_by_the_next() {
+async fn a_failed_sweep_is_completed_by_the_next() {
     for calls in 0..60 {
         let store = filled().await;
         store.change(|state| state.fails_after = Some(state.calls + calls));
         let _ = sweep(&store, WINDOW, NOW, "entry-0").await;
         store.change(|state| {
             state.fails_after = None;
-            // The lease of the one that failed has run out.
+            // The lease of the failed sweeper has expired.
             state.items.remove("claims-sweeper");
         });
         sweep(&store, WINDOW, NOW, "entry-1")
             .await
-            .expect("it is swept");
+            .expect("the sweep succeeds");
         assert_eq!(store.claims(), 1, "after {calls} calls");
     }
 }
--- a/serving/tests/configuration/apply.rs
+++ b/serving/tests/configuration/apply.rs
@@ -1,4 +1,4 @@
-//! Storing declarations while answers are lost, reads are out of date and operators race.
+//! Storing declarations while responses are lost, reads are outdated and operators race.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 use crate::memory::{Fault, Memory};
 
-/// A change that makes a declaration invalid.
+/// An edit that makes a declaration invalid.
 type Breakage = fn(&mut Service);
 
 fn request(seen: u64, change_id: &str) -> ApplyRequest {
@@ -36,7 +36,7 @@
     apply::store(memory, None, change(seen, change_id)).await
 }
 
-/// Returns the change ids in the order in which they were stored.
+/// Returns the identifiers of the stored changes, oldest first.
 fn stored(memory: &Memory) -> Vec<String> {
     let values = memory.written();
     let services = values
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_is_settled_by_reading_back() {
+async fn a_lost_response_is_resolved_by_reading_back() {
     for fault in [Fault::LostBefore, Fault::LostAfter, Fault::LostLate] {
         let memory = Memory::new();
         let service = store(&memory.with(&[Fault::Pass, fault]), 0, "a").await;
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_overtaken_by_another_change_is_no_conflict() {
+async fn a_lost_response_followed_by_another_change_is_not_a_conflict() {
     let memory = Memory::new();
     let faulty = memory.with(&[Fault::Pass, Fault::LostAfter]);
     let first = tokio::spawn(async move { store(&faulty, 0, "a").await });
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reads_that_are_out_of_date_do_not_hide_what_was_stored() {
+async fn outdated_reads_do_not_hide_stored_changes() {
     let memory = Memory::new();
     store(&memory, 0, "a").await.expect("accepted");
     store(&memory, 1, "b").await.expect("accepted");
@@ -81,7 +81,11 @@
         seen: 1,
         newer: 2,
     };
-    assert_eq!(refused, Err(newer), "a refused write shows the truth");
+    assert_eq!(
+        refused,
+        Err(newer),
+        "the refused write returns the current revision"
+    );
     let stale = memory.with(&[Fault::Stale; 8]);
     let refused = store(&stale, 2, "d").await;
     assert!(matches!(refused, Err(Error::Older { .. })), "{refused:?}");
@@ -92,7 +96,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_behind_what_this_entry_has_seen_is_not_believed() {
+async fn a_store_older_than_the_revision_in_force_is_not_trusted() {
     let memory = Memory::new();
     store(&memory, 0, "a").await.expect("accepted");
     let held = store(&memory, 1, "b").await.expect("accepted");
@@ -108,7 +112,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_store_that_stays_down_is_told_apart_from_a_lost_answer() {
+async fn an_unavailable_store_is_distinguished_from_a_lost_response() {
     let memory = Memory::new();
     let refused = store(&memory.with(&[Fault::Down]), 0, "a").await;
     assert!(
@@ -130,7 +134,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_out_of_memory_is_not_called_a_conflict() {
+async fn a_change_older_than_the_history_is_not_reported_as_a_conflict() {
     let memory = Memory::new();
     for seen in 0..40 {
         let id = format!("change-{seen}");
@@ -199,7 +203,7 @@
     }
 }
 
-/// One operator of the race: when it starts, and how its calls fail.
+/// One operator of the race: the delay of its start and the faults of its calls.
 #[derive(Clone, Debug, bolero::TypeGenerator)]
 struct Racer {
     delay: u8,
@@ -218,7 +222,7 @@
 }
 
 #[test]
-fn what_operators_are_told_is_true_in_any_race() {
+fn results_reported_to_operators_are_true_in_any_race() {
     check!().with_type::<[Racer; 4]>().for_each(|racers| {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
@@ -232,11 +236,11 @@
 async fn race(racers: &[Racer; 4]) {
     let memory = Memory::new();
     let tasks = racers.iter().cloned().enumerate().map(|(index, racer)| {
-        let clean = memory.clone();
+        let store_without_faults = memory.clone();
         let store_of_racer = memory.with(&racer.faults.map(fault));
         tokio::spawn(async move {
             sleep(Duration::from_millis(u64::from(racer.delay))).await;
-            let seen = clean.written().len() as u64;
+            let seen = store_without_faults.written().len() as u64;
             let id = format!("change-{index}");
             (id.clone(), store(&store_of_racer, seen, &id).await)
         })
@@ -251,14 +255,17 @@
     let once: BTreeSet<&String> = chain.iter().collect();
     assert_eq!(once.len(), chain.len(), "stored twice: {chain:?}");
     for (id, outcome) in outcomes {
-        let place = (1..)
+        let revision = (1..)
             .zip(&chain)
             .find(|(_, stored)| **stored == id)
             .map(|(revision, _)| revision);
         match outcome {
-            Ok(service) => assert_eq!(place, Some(service.revision), "{id}"),
+            Ok(service) => assert_eq!(revision, Some(service.revision), "{id}"),
             Err(Error::Unknown { .. }) => {}
-            Err(error) => assert_eq!(place, None, "{id} was stored, but told {error}"),
+            Err(error) => assert_eq!(
+                revision, None,
+                "{id} was stored, but the operator got: {error}"
+            ),
         }
     }
 }
--- a/serving/tests/configuration/declarations.rs
+++ b/serving/tests/configuration/declarations.rs
@@ -1,4 +1,4 @@
-//! Declarations in force while the store is down, out of date or has lost keys.
+//! Declarations in force while the store is unavailable, is outdated or has lost keys.
 
 use std::time::Duration;
 
@@ -14,10 +14,10 @@
 
 use crate::memory::{Fault, Memory};
 
-/// Bound within which a change must be in force.
-const IN_FORCE: Duration = Duration::from_secs(2);
+/// Longest time until a change must be in force.
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// A reader of the store.
+/// A running task that reads declarations from the store.
 struct Reader {
     replica: DeclarationReplica,
     reader_role: watch::Sender<ReaderRole>,
@@ -45,7 +45,7 @@
         reader
     }
 
-    fn refused(&self, reason: &'static str) -> u64 {
+    fn rejected(&self, reason: &'static str) -> u64 {
         let refusals = &self.metrics.store_refusals;
         refusals.get_or_create(&Refusal { reason }).get()
     }
@@ -54,15 +54,15 @@
         self.replica.revision("briefs").unwrap_or_default()
     }
 
-    async fn reaches(&self, revision: u64) {
+    async fn expect_revision(&self, revision: u64) {
         let mut view = self.replica.view();
         let reached = view.wait_for(|held| held.revision("briefs") >= Some(revision));
-        let reached = tokio::time::timeout(IN_FORCE, reached).await;
+        let reached = tokio::time::timeout(IN_FORCE_LIMIT, reached).await;
         assert!(reached.is_ok(), "revision {revision} is not in force");
     }
 }
 
-/// Writes a declaration past all rules, as a store that lost data would show it.
+/// Writes a declaration without the checks of an operator's change, as after a loss of data.
 async fn write(store: &Memory, revision: u64, deleted: bool) {
     let key = format!("{PREFIX}briefs");
     let held = store.get(&key).await.expect("a read");
@@ -82,53 +82,53 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_change_is_in_force_at_once_and_an_older_one_never() {
+async fn a_newer_revision_comes_into_force_and_an_older_one_never() {
     let store = Memory::new();
     let reader = Reader::start(store.clone(), ReaderRole::Primary);
     write(&store, 1, false).await;
-    reader.reaches(1).await;
+    reader.expect_revision(1).await;
     write(&store, 5, false).await;
-    reader.reaches(5).await;
+    reader.expect_revision(5).await;
     write(&store, 3, false).await;
     sleep(Duration::from_secs(5)).await;
     assert_eq!(reader.revision(), 5);
-    assert!(reader.refused("older") > 0);
+    assert!(reader.rejected("older") > 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_first_list_that_is_out_of_date_is_made_good() {
+async fn an_outdated_first_list_is_corrected_by_a_later_one() {
     let store = Memory::new();
     write(&store, 1, false).await;
     write(&store, 2, false).await;
     let reader = Reader::start(store.with(&[Fault::Stale]), ReaderRole::Primary);
-    reader.reaches(2).await;
+    reader.expect_revision(2).await;
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_vanished_key_is_reported_and_a_deletion_is_obeyed() {
+async fn a_missing_key_is_reported_and_a_deletion_is_applied() {
     let store = Memory::new();
     let reader = Reader::start(store.clone(), ReaderRole::Primary);
     write(&store, 1, false).await;
-    reader.reaches(1).await;
+    reader.expect_revision(1).await;
     let key = format!("{PREFIX}briefs");
     let item = store.get(&key).await.expect("a read").expect("an item");
     store.delete(&key, item.revision).await.expect("a delete");
     sleep(Duration::from_secs(5)).await;
     assert!(reader.replica.view().borrow().service("briefs").is_some());
-    assert!(reader.refused("missing") > 0);
+    assert!(reader.rejected("missing") > 0);
     write(&store, 2, true).await;
-    reader.reaches(2).await;
+    reader.expect_revision(2).await;
     let declarations = reader.replica.view().borrow().clone();
     assert!(declarations.service("briefs").is_none());
     assert!(declarations.deleted.contains_key("briefs"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn declarations_stay_in_an_outage_and_catch_up_after_it() {
+async fn declarations_are_kept_in_an_outage_and_updated_after_it() {
     let store = Memory::new();
     let reader = Reader::start(store.clone(), ReaderRole::Primary);
     write(&store, 1, false).await;
-    reader.reaches(1).await;
+    reader.expect_revision(1).await;
     store.set_down(true);
     sleep(Duration::from_mins(10)).await;
     assert_eq!(reader.revision(), 1);
@@ -142,14 +142,14 @@
     );
     store.set_down(false);
     write(&store, 2, false).await;
-    // The longest pause is 2 s with a jitter of half of it.
+    // The longest retry pause is 2 s, with a jitter of half of it.
     sleep(Duration::from_secs(3)).await;
-    reader.reaches(2).await;
+    reader.expect_revision(2).await;
     assert!(reader.replica.view().borrow().store_reachable);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_alone_in_an_outage_has_loaded_nothing() {
+async fn an_entry_without_peers_is_not_loaded_in_an_outage() {
     let store = Memory::new();
     store.set_down(true);
     let reader = Reader::start(store.clone(), ReaderRole::Primary);
@@ -161,24 +161,24 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_entry_that_polls_makes_few_calls_until_it_has_to_watch() {
+async fn a_polling_entry_makes_few_calls_until_it_becomes_primary() {
     let store = Memory::new();
     write(&store, 1, false).await;
     let before = store.calls();
     let interval = Duration::from_mins(1);
     let reader = Reader::start(store.clone(), ReaderRole::Poll(interval));
-    reader.reaches(1).await;
+    reader.expect_revision(1).await;
     let started = Instant::now();
     sleep(Duration::from_mins(10)).await;
     let calls = store.calls() - before;
     assert!(calls <= 11, "{calls} calls in {:?}", started.elapsed());
     reader.reader_role.send_replace(ReaderRole::Primary);
     write(&store, 2, false).await;
-    reader.reaches(2).await;
+    reader.expect_revision(2).await;
 }
 
 #[test]
-fn what_was_learnt_before_a_look_counts_as_a_change() {
+fn records_from_before_a_subscription_count_as_a_change() {
     let replica = DeclarationReplica::default();
     let service = Service {
         name: "briefs".to_owned(),
--- a/serving/tests/configuration/main.rs
+++ b/serving/tests/configuration/main.rs
@@ -1,4 +1,4 @@
-//! Declarations: how they are stored, and how they come into force.
+//! Storing declarations and bringing them into force while the store fails.
 
 mod apply;
 mod declarations;
--- a/serving/tests/configuration/memory.rs
+++ b/serving/tests/configuration/memory.rs
@@ -1,4 +1,4 @@
-//! A store in memory whose calls fail as a script says.
+//! An in-memory store with scripted faults.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,27 +7,27 @@
 use medlarfall_serving::platform::{Change, Changes, Error, Instance, Item, Lease, Listing, Store};
 use tokio::sync::watch;
 
-/// What happens to one call.
+/// Fault of one call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// It is answered.
+    /// None: the call succeeds.
     Pass,
-    /// It is refused.
+    /// The store is unavailable.
     Down,
-    /// It is lost before it takes effect.
+    /// The call is lost before it takes effect.
     LostBefore,
-    /// It takes effect and its answer is lost.
+    /// The call takes effect and its response is lost.
     LostAfter,
-    /// Its answer is lost, and it takes effect 250 ms later.
+    /// The response is lost and the call takes effect 250 ms later.
     LostLate,
-    /// A read returns what stood before the last change; a write is answered.
+    /// A read returns the value before the last change; a write succeeds.
     Stale,
 }
 
-/// Delay after which a late write takes effect.
+/// Delay of a write with [`Fault::LostLate`].
 const LATE: Duration = Duration::from_millis(250);
 
-/// What the store holds.
+/// Contents of the store.
 #[derive(Debug, Default)]
 struct State {
     revision: u64,
@@ -37,7 +37,7 @@
     calls: u64,
 }
 
-/// A handle of the store with a script of its own.
+/// A handle of the store; each handle has its own script of faults.
 #[derive(Clone, Debug)]
 pub struct Memory {
     state: Arc<Mutex<State>>,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Returns a handle whose calls fail as `script` says, and are answered after its end.
+    /// Returns a handle whose calls have the faults of `script`, and succeed after its end.
     pub fn with(&self, script: &[Fault]) -> Self {
         Self {
             script: Arc::new(Mutex::new(script.iter().copied().collect())),
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Makes every call of every handle fail, or ends that.
+    /// Sets whether every call of every handle fails.
     pub fn set_down(&self, down: bool) {
         self.down.send_replace(down);
     }
 
-    /// Returns the values that were written, oldest first.
+    /// Returns the written values, oldest first.
     pub fn written(&self) -> Vec<String> {
         let state = self.lock();
         state
@@ -80,7 +80,7 @@
             .collect()
     }
 
-    /// Returns how many calls were made.
+    /// Returns the number of calls.
     pub fn calls(&self) -> u64 {
         self.lock().calls
     }
@@ -89,12 +89,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the next fault, or the error of a call that fails without effect.
+    /// Returns the next fault of the script, or the error of a call that fails without effect.
     async fn enter(&self) -> Result<Fault, Error> {
         tokio::time::sleep(Duration::from_millis(1)).await;
         self.lock().calls += 1;
         let mut script = self.script.lock().unwrap_or_else(PoisonError::into_inner);
-        let reason = "as the test says".to_owned();
+        let reason = "injected fault".to_owned();
         match script.pop_front().unwrap_or(Fault::Pass) {
             _ if *self.down.borrow() => Err(Error::Unavailable { reason }),
             Fault::Down => Err(Error::Unavailable { reason }),
@@ -132,7 +132,7 @@
 
     async fn change(&self, key: &str, value: Option<String>, expected: u64) -> Result<u64, Error> {
         let lost = Err(Error::Lost {
-            reason: "as the test says".to_owned(),
+            reason: "injected fault".to_owned(),
         });
         match self.enter().await? {
             Fault::LostAfter => {
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns an item as it is, or as it was.
+    /// Returns the current item of a key, or the previous one if the fault is [`Fault::Stale`].
     fn item(state: &State, key: &str, fault: Fault) -> Option<Item> {
         match state.previous.get(key) {
             Some(previous) if fault == Fault::Stale => previous.clone(),
@@ -199,7 +199,7 @@
         tokio::select! {
             _ = tokio::time::timeout(timeout, revision.wait_for(|revision| *revision > after)) => {}
             _ = down.wait_for(|down| *down) => {
-                return Err(Error::Lost { reason: "as the test says".to_owned() });
+                return Err(Error::Lost { reason: "injected fault".to_owned() });
             }
         }
         let state = self.lock();
