--- a/serving/tests/claims_sweep.rs
+++ b/serving/tests/claims_sweep.rs
@@ -118,13 +118,13 @@
 
     async fn revoke(&self, lease: Lease) -> Result<(), Error> {
         let mut state = self.call()?;
-        let held: Vec<String> = state
+        let keys: Vec<String> = state
             .leased
             .iter()
-            .filter(|(_, held)| **held == lease)
+            .filter(|(_, key_lease)| **key_lease == lease)
             .map(|(key, _)| key.clone())
             .collect();
-        for key in held {
+        for key in keys {
             state.items.remove(&key);
             state.leased.remove(&key);
         }
@@ -177,10 +177,10 @@
 async fn only_one_entry_sweeps_at_a_time() {
     let store = filled().await;
     let lease = store.grant(Duration::from_secs(30)).await.expect("a lease");
-    let held = store
+    let written = store
         .put("claims-sweeper", "entry-1".to_owned(), 0, Some(lease))
         .await;
-    held.expect("the sweeper's key is written");
+    written.expect("the sweeper's key is written");
     sweep(&store, WINDOW, NOW, "entry-0")
         .await
         .expect("the sweep is skipped");
--- a/serving/tests/configuration/apply.rs
+++ b/serving/tests/configuration/apply.rs
@@ -99,14 +99,14 @@
 async fn a_store_older_than_the_revision_in_force_is_not_trusted() {
     let memory = Memory::new();
     store(&memory, 0, "a").await.expect("accepted");
-    let held = store(&memory, 1, "b").await.expect("accepted");
+    let in_force = store(&memory, 1, "b").await.expect("accepted");
     let stale = memory.with(&[Fault::Stale; 8]);
-    let refused = apply::store(&stale, Some(&held), change(1, "c")).await;
+    let refused = apply::store(&stale, Some(&in_force), change(1, "c")).await;
     assert!(
         matches!(refused, Err(Error::Conflict { newer: 2, .. })),
         "{refused:?}"
     );
-    let again = apply::store(&stale, Some(&held), change(1, "b")).await;
+    let again = apply::store(&stale, Some(&in_force), change(1, "b")).await;
     assert_eq!(again.map(|service| service.revision), Ok(2));
     assert_eq!(stored(&memory), ["a", "b"]);
 }
--- a/serving/tests/configuration/declarations.rs
+++ b/serving/tests/configuration/declarations.rs
@@ -20,24 +20,24 @@
 /// A running task that reads declarations from the store.
 struct Reader {
     replica: DeclarationReplica,
-    reader_role: watch::Sender<ReaderRole>,
+    role: watch::Sender<ReaderRole>,
     metrics: Metrics,
     _stop: DropGuard,
 }
 
 impl Reader {
-    fn start(store: Memory, reader_role: ReaderRole) -> Self {
+    fn start(store: Memory, role: ReaderRole) -> Self {
         let stop = CancellationToken::new();
         let reader = Self {
             replica: DeclarationReplica::default(),
-            reader_role: watch::Sender::new(reader_role),
+            role: watch::Sender::new(role),
             metrics: Metrics::new(),
             _stop: stop.clone().drop_guard(),
         };
         let source = Source {
             store,
             settings: Platform::new(([127, 0, 0, 1], 1).into()),
-            reader_role: reader.reader_role.subscribe(),
+            reader_role: reader.role.subscribe(),
             refusals: reader.metrics.store_refusals.clone(),
         };
         let replica = reader.replica.clone();
@@ -56,7 +56,8 @@
 
     async fn expect_revision(&self, revision: u64) {
         let mut view = self.replica.view();
-        let reached = view.wait_for(|held| held.revision("briefs") >= Some(revision));
+        let reached =
+            view.wait_for(|declarations| declarations.revision("briefs") >= Some(revision));
         let reached = tokio::time::timeout(IN_FORCE_LIMIT, reached).await;
         assert!(reached.is_ok(), "revision {revision} is not in force");
     }
@@ -65,7 +66,7 @@
 /// Writes a declaration without the checks of an operator's change, as after a loss of data.
 async fn write(store: &Memory, revision: u64, deleted: bool) {
     let key = format!("{PREFIX}briefs");
-    let held = store.get(&key).await.expect("a read");
+    let item = store.get(&key).await.expect("a read");
     let service = Service {
         name: "briefs".to_owned(),
         version: format!("v{revision}"),
@@ -74,7 +75,7 @@
         ..Service::default()
     };
     let value = serde_json::to_string(&service).expect("a value");
-    let expected = held.map_or(0, |item| item.revision);
+    let expected = item.map_or(0, |item| item.revision);
     store
         .put(&key, value, expected, None)
         .await
@@ -172,7 +173,7 @@
     sleep(Duration::from_mins(10)).await;
     let calls = store.calls() - before;
     assert!(calls <= 11, "{calls} calls in {:?}", started.elapsed());
-    reader.reader_role.send_replace(ReaderRole::Primary);
+    reader.role.send_replace(ReaderRole::Primary);
     write(&store, 2, false).await;
     reader.expect_revision(2).await;
 }
