--- a/serving/src/entry.rs
+++ b/serving/src/entry.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Receiving ends of the channels to tasks that start after the context is built.
+/// Channel ends that belong to tasks started after the context is built.
 struct Channels {
     moves: moves::Mailbox,
     membership: membership::Inbox,
--- a/serving/src/modules/claims.rs
+++ b/serving/src/modules/claims.rs
@@ -1,7 +1,7 @@
 //! Claims on callers' identifiers, which make calls to plain services run at most once.
 //!
 //! [`Claims`] records the claims of this entry and reports their status to other entries. [`run`]
-//! makes a call under an identifier; [`cleanup`] updates the store once a call has ended; [`sweep`]
+//! makes a call under an identifier; `cleanup` updates the store once a call has ended; [`sweep`]
 //! deletes the claims of identifiers that have expired at every entry.
 
 use std::net::SocketAddr;
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -99,12 +99,12 @@
     call: impl Future<Output = Result<T, platform::Error>>,
 ) -> Result<T, platform::Error> {
     let deadline = context.clock.instant(request.deadline);
-    let over = || platform::Error::Lost {
+    let timed_out = || platform::Error::Lost {
         reason: "the deadline is over".to_owned(),
     };
     tokio::time::timeout_at(deadline, call)
         .await
-        .unwrap_or_else(|_| Err(over()))
+        .unwrap_or_else(|_| Err(timed_out()))
 }
 
 /// Queries the status of a claim from its claimer: this entry or a peer. Returns nothing if the
