--- a/programs/src/bench/slow_readers.rs
+++ b/programs/src/bench/slow_readers.rs
@@ -139,7 +139,9 @@
     let contexts = cluster.entries.iter().map(|entry| &entry.context);
     let metrics = contexts.clone().map(|context| &context.metrics);
     Ok(Measurements {
-        held_peak: contexts.map(|context| context.held.peak_bytes()).sum(),
+        held_peak: contexts
+            .map(|context| context.buffer_limiter.peak_bytes())
+            .sum(),
         wrong: slow.into_iter().filter(|right| !right).count()
             + without_slow.wrong
             + beside_slow.wrong,
@@ -277,7 +279,7 @@
 async fn entries_freed(cluster: &Cluster) -> bool {
     let free = || {
         let mut entries = cluster.entries.iter();
-        entries.all(|entry| entry.context.held.buffered_bytes() == 0)
+        entries.all(|entry| entry.context.buffer_limiter.buffered_bytes() == 0)
     };
     wait_until("the entries buffer nothing", free).await.is_ok()
 }
--- a/programs/tests/slow_readers.rs
+++ b/programs/tests/slow_readers.rs
@@ -89,7 +89,7 @@
     let cluster = cluster(limit_per_reader).await;
     let stream = start_generation(&cluster, 0).await;
     wait_until_parked(&cluster, 1).await;
-    let limiter = &cluster.entries[0].context.held;
+    let limiter = &cluster.entries[0].context.buffer_limiter;
     assert!(limiter.peak_bytes() < 2 * READER_BYTES);
     expect_oracle_answer(stream, 0).await;
     wait_until("the entry buffers nothing", || {
@@ -108,10 +108,10 @@
     }
     wait_until_parked(&cluster, READERS as u64).await;
     let context = &cluster.entries[0].context;
-    assert!(context.held.peak_bytes() <= ENTRY_BYTES);
+    assert!(context.buffer_limiter.peak_bytes() <= ENTRY_BYTES);
     assert!(context.metrics.held_given_up.get() > 0);
     let reads = streams.into_iter().enumerate();
     futures::future::join_all(reads.map(|(index, stream)| expect_oracle_answer(stream, index)))
         .await;
-    assert!(context.held.peak_bytes() <= ENTRY_BYTES);
+    assert!(context.buffer_limiter.peak_bytes() <= ENTRY_BYTES);
 }
--- a/serving/src/modules/declarations.rs
+++ b/serving/src/modules/declarations.rs
@@ -1,7 +1,8 @@
-//! Declarations in force at this entry: the highest revision seen of each service.
+//! Declarations in force at this entry: the highest revision received of each service.
 //!
-//! They come from the platform's store and from peers. A revision below the highest seen, or a
-//! key that has vanished, is reported and not obeyed: a service ends with a revision that says so.
+//! Declarations come from the platform's store and from peers. A lower revision or a missing key is
+//! reported and ignored, since a store that lost data would show the same: a service is deleted only
+//! by a newer revision that is marked as deleted.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -17,7 +18,7 @@
 
 use crate::configs::platform::Platform;
 use crate::modules::metrics::Refusal;
-use crate::modules::spread::{Duty, Topic, View};
+use crate::modules::replication::{ReaderRole, Replica, View};
 use crate::platform::{Error, Listing, Store};
 
 /// Prefix of the keys that hold declarations.
@@ -29,26 +30,27 @@
 /// Longest pause after a failed call to the store.
 const RETRY_PAUSE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Time after which the first list is checked by another; it doubles with each further one. A list
-/// that was out of date is made good this way, although the watch goes on from a later revision.
-const FIRST_CHECK: Duration = Duration::from_secs(1);
+/// Time until the declarations are listed again after the first list; it doubles with each further
+/// list. This corrects an outdated list, whose missing changes the watch does not return because it
+/// starts at a later revision.
+const RELIST_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Longest time between two lists while watching.
-const CHECK_LIMIT: Duration = Duration::from_secs(64);
+const RELIST_INTERVAL_LIMIT: Duration = Duration::from_secs(64);
 
-/// The highest revisions seen.
-pub type Board = Topic<u64, Arc<Service>, Declarations>;
+/// This entry's replica of the declarations.
+pub type DeclarationReplica = Replica<u64, Arc<Service>, Declarations>;
 
-impl Board {
-    /// Notes that the newest declarations that can be had have been read.
-    pub fn loaded(&self) {
+impl DeclarationReplica {
+    /// Records that the declarations have been read from the store or from a peer that has read them.
+    pub fn mark_loaded(&self) {
         if !self.view().borrow().loaded {
-            self.note(|declarations| declarations.loaded = true);
+            self.update_view(|declarations| declarations.loaded = true);
         }
     }
 }
 
-/// Declarations in force.
+/// The declarations in force.
 #[derive(Clone, Debug, Default)]
 pub struct Declarations {
     /// Declarations by service.
@@ -57,7 +59,7 @@
     pub deleted: BTreeMap<Arc<str>, Arc<Service>>,
     /// Whether the declarations have been read at least once.
     pub loaded: bool,
-    /// Whether the store answered the last call.
+    /// Whether the last call to the store succeeded.
     pub store_reachable: bool,
 }
 
@@ -68,16 +70,16 @@
         self.services.get(name)
     }
 
-    /// Returns the revision in force of a service, also of a deleted one.
+    /// Returns the revision in force of a service, which may be deleted.
     #[must_use]
     pub fn revision(&self, name: &str) -> Option<u64> {
-        let held = self.services.get(name).or_else(|| self.deleted.get(name));
-        held.map(|service| service.revision)
+        let service = self.services.get(name).or_else(|| self.deleted.get(name));
+        service.map(|service| service.revision)
     }
 }
 
 impl View<u64, Arc<Service>> for Declarations {
-    fn take(&mut self, record: &Record<u64, Arc<Service>>) {
+    fn apply(&mut self, record: &Record<u64, Arc<Service>>) {
         let (to, from) = if record.value.deleted {
             (&mut self.deleted, &mut self.services)
         } else {
@@ -88,7 +90,7 @@
     }
 }
 
-/// Returns the record of a declaration.
+/// Returns a replica's record of a declaration.
 #[must_use]
 pub fn record(service: Service) -> Record<u64, Arc<Service>> {
     Record {
@@ -98,30 +100,30 @@
     }
 }
 
-/// Where declarations are read from.
+/// Parameters of the task that reads declarations.
 #[derive(Debug)]
 pub struct Source<S> {
     /// The platform's store.
     pub store: S,
-    /// How the platform is called.
+    /// Settings of calls to the platform.
     pub settings: Platform,
-    /// Whether this entry watches the store.
-    pub duty: watch::Receiver<Duty>,
-    /// Counts what the store returned and was not obeyed.
+    /// Role of this entry, which decides whether it watches the store.
+    pub reader_role: watch::Receiver<ReaderRole>,
+    /// Number of values from the store that were ignored, by reason.
     pub refusals: Family<Refusal, Counter>,
 }
 
-/// Starts the task that keeps a board current from the store.
-pub fn start<S: Store>(source: Source<S>, board: Board, stop: CancellationToken) {
+/// Starts the task that updates a replica from the store.
+pub fn start<S: Store>(source: Source<S>, replica: DeclarationReplica, stop: CancellationToken) {
     let mut reader = Reader {
         source,
-        board,
+        replica,
         pause: RETRY_PAUSE,
     };
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = reader.keep_current() => {}
+            () = reader.run() => {}
         }
     });
 }
@@ -129,23 +131,23 @@
 /// Reads declarations from the store.
 struct Reader<S> {
     source: Source<S>,
-    board: Board,
+    replica: DeclarationReplica,
     /// Pause after the next failed call.
     pause: Duration,
 }
 
 impl<S: Store> Reader<S> {
-    /// Reads the store as this entry's duty says, for ever.
-    async fn keep_current(&mut self) {
+    /// Reads the store as the reader role of this entry requires; never returns.
+    async fn run(&mut self) {
         loop {
-            let duty = *self.source.duty.borrow_and_update();
-            let read = match duty {
-                Duty::Lead | Duty::Second => self.follow().await,
-                Duty::Poll(interval) => self.poll(interval).await,
+            let reader_role = *self.source.reader_role.borrow_and_update();
+            let read = match reader_role {
+                ReaderRole::Primary | ReaderRole::Secondary => self.follow().await,
+                ReaderRole::Poll(interval) => self.poll(interval).await,
             };
             if let Err(error) = read {
-                log::warn!(error = error.to_string().as_str(); "the store cannot be read; the declarations in force stay");
-                self.reached(false);
+                log::warn!(error = error.to_string().as_str(); "reading declarations from the store failed; the declarations in force are kept");
+                self.set_store_reachable(false);
                 let jitter = rand::rng().random_range(0.5..1.5);
                 tokio::time::sleep(self.pause.mul_f64(jitter)).await;
                 self.pause = (self.pause * 2).min(RETRY_PAUSE_LIMIT);
@@ -153,21 +155,22 @@
         }
     }
 
-    /// Lists the declarations, then follows their changes until a call fails or the duty changes.
+    /// Lists the declarations, then watches their changes until a call fails or the reader role
+    /// changes.
     async fn follow(&mut self) -> Result<(), Error> {
-        let mut check = FIRST_CHECK;
+        let mut relist = RELIST_INTERVAL;
         loop {
             let revision = self.list().await?;
-            let mut duty = self.source.duty.clone();
+            let mut reader_role = self.source.reader_role.clone();
             tokio::select! {
-                failed = self.watch(revision) => return failed,
-                () = changed(&mut duty) => return Ok(()),
-                () = tokio::time::sleep(check) => check = (check * 2).min(CHECK_LIMIT),
+                result = self.watch(revision) => return result,
+                () = changed(&mut reader_role) => return Ok(()),
+                () = tokio::time::sleep(relist) => relist = (relist * 2).min(RELIST_INTERVAL_LIMIT),
             }
         }
     }
 
-    /// Follows changes after a revision until a call fails.
+    /// Watches changes after a revision until a call fails.
     async fn watch(&self, mut revision: u64) -> Result<(), Error> {
         let Source {
             store, settings, ..
@@ -176,23 +179,23 @@
             let changes = store
                 .watch(PREFIX, revision, settings.watch_timeout)
                 .await?;
-            self.reached(true);
+            self.set_store_reachable(true);
             for change in &changes.changes {
                 match &change.value {
-                    Some(value) => self.take(&change.key, value),
-                    None => self.refuse("missing", &change.key),
+                    Some(value) => self.accept(&change.key, value),
+                    None => self.reject("missing", &change.key),
                 }
             }
             revision = changes.revision;
         }
     }
 
-    /// Lists the declarations once, then lets the interval pass or the duty change.
+    /// Waits for the interval and lists the declarations, or returns early if the reader role changes.
     async fn poll(&mut self, interval: Duration) -> Result<(), Error> {
-        // At its start an entry reads the store at once; later its peers tell it of changes.
-        if self.board.view().borrow().loaded {
+        // A starting entry reads the store immediately; later its peers send it the changes.
+        if self.replica.view().borrow().loaded {
             tokio::select! {
-                () = changed(&mut self.source.duty) => return Ok(()),
+                () = changed(&mut self.source.reader_role) => return Ok(()),
                 () = tokio::time::sleep(interval) => {}
             }
         }
@@ -203,57 +206,57 @@
     async fn list(&mut self) -> Result<u64, Error> {
         let Listing { items, revision } = self.source.store.list(PREFIX).await?;
         for item in &items {
-            self.take(&item.key, &item.value);
+            self.accept(&item.key, &item.value);
         }
         let listed: HashSet<&str> = items
             .iter()
             .filter_map(|item| item.key.strip_prefix(PREFIX))
             .collect();
-        for key in self.board.missing(|key| listed.contains(key)) {
-            self.refuse("missing", &key);
+        for key in self.replica.unlisted(|key| listed.contains(key)) {
+            self.reject("missing", &key);
         }
         self.pause = RETRY_PAUSE;
-        self.reached(true);
-        self.board.loaded();
+        self.set_store_reachable(true);
+        self.replica.mark_loaded();
         Ok(revision)
     }
 
-    /// Offers a stored declaration to the board, and reports it if it is not obeyed.
-    fn take(&self, key: &str, value: &str) {
+    /// Offers a stored declaration to the replica, and reports one that is not accepted.
+    fn accept(&self, key: &str, value: &str) {
         let Ok(service) = serde_json::from_str::<Service>(value) else {
-            return self.refuse("unreadable", key);
+            return self.reject("unreadable", key);
         };
         if key.strip_prefix(PREFIX) != Some(&service.name) {
-            return self.refuse("unreadable", key);
+            return self.reject("unreadable", key);
         }
-        match self.board.offer(record(service)) {
+        match self.replica.offer(record(service)) {
             Verdict::Newer | Verdict::Same => {}
-            Verdict::Older { .. } => self.refuse("older", key),
-            Verdict::Fork => self.refuse("fork", key),
+            Verdict::Older { .. } => self.reject("older", key),
+            Verdict::Fork => self.reject("fork", key),
         }
     }
 
-    /// Reports a value of the store that is not obeyed.
-    fn refuse(&self, reason: &'static str, key: &str) {
+    /// Counts and logs a value of the store that is ignored.
+    fn reject(&self, reason: &'static str, key: &str) {
         self.source
             .refusals
             .get_or_create(&Refusal { reason })
             .inc();
-        log::warn!(key, reason; "the store returned what is not the newest seen; the declaration in force stays");
+        log::warn!(key, reason; "ignored an outdated, missing or invalid declaration in the store; the declaration in force is kept");
     }
 
-    /// Notes whether the store answered.
-    fn reached(&self, reached: bool) {
-        if self.board.view().borrow().store_reachable != reached {
-            self.board
-                .note(|declarations| declarations.store_reachable = reached);
+    /// Records whether the last call to the store succeeded.
+    fn set_store_reachable(&self, reachable: bool) {
+        if self.replica.view().borrow().store_reachable != reachable {
+            self.replica
+                .update_view(|declarations| declarations.store_reachable = reachable);
         }
     }
 }
 
-/// Waits until the duty changes; for ever if nobody can change it any more.
-async fn changed(duty: &mut watch::Receiver<Duty>) {
-    if duty.changed().await.is_err() {
+/// Waits until the reader role changes; never returns if its sender was dropped.
+async fn changed(reader_role: &mut watch::Receiver<ReaderRole>) {
+    if reader_role.changed().await.is_err() {
         std::future::pending::<()>().await;
     }
 }
--- a/serving/src/utils.rs
+++ b/serving/src/utils.rs
@@ -1,6 +1,6 @@
-//! Helpers that several modules share.
+//! Utilities used by several modules.
 
+pub mod cas;
 pub mod mac;
-pub mod settle;
 
 pub use medlarfall_runtime::{budget, http};
