--- a/programs/src/bench/routing.rs
+++ b/programs/src/bench/routing.rs
@@ -326,7 +326,10 @@
     let total = |value: fn(&engine::Stats) -> u64| stats.iter().map(value).sum::<u64>();
     let (near, far) = cluster.entries.iter().fold((0, 0), |(near, far), entry| {
         let admitted = &entry.context.metrics.admitted;
-        (near + admitted.near(), far + admitted.far())
+        (
+            near + admitted.own_failure_domain(),
+            far + admitted.other_failure_domains(),
+        )
     });
     let calls = cluster.platform.stats();
     Ok(Measured {
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -8,7 +8,7 @@
 use medlarfall_schema::operator::OrderRequest;
 use medlarfall_serving::backend::http::Client;
 use medlarfall_serving::backend::{Engine as _, Order, OrderResponse, Server};
-use medlarfall_serving::modules::orders::{self, Desired, Way};
+use medlarfall_serving::modules::orders::{self, Dependencies, Desired};
 use medlarfall_serving::platform;
 use medlarfall_serving::platform::Store as _;
 use medlarfall_standin::engine::Config;
@@ -40,14 +40,14 @@
     Server::try_from(instance).expect("a server")
 }
 
-fn way(cluster: &Cluster) -> Way<platform::http::Client, Client> {
+fn dependencies(cluster: &Cluster) -> Dependencies<platform::http::Client, Client> {
     let context = &cluster.entries[0].context;
     let mut settings = context.settings.orders;
     settings.policy = Policy {
         order_timeout: TIMEOUT,
         attempts: 3,
     };
-    Way {
+    Dependencies {
         settings,
         ..context.orders()
     }
@@ -96,10 +96,10 @@
 async fn an_order_of_an_old_holder_is_refused_by_a_server_that_enforces_fencing() {
     let cluster = cluster(true).await;
     let server = server(&cluster);
-    let way = way(&cluster);
-    let first = orders::give(&way, &server, &drain(true), true, PATIENCE).await;
+    let dependencies = dependencies(&cluster);
+    let first = orders::execute(&dependencies, &server, &drain(true), true, PATIENCE).await;
     let old = first.expect("it is carried out").fencing;
-    let second = orders::give(&way, &server, &drain(false), true, PATIENCE).await;
+    let second = orders::execute(&dependencies, &server, &drain(false), true, PATIENCE).await;
     let newer = second.expect("it is carried out").fencing;
     assert!(newer > old, "{newer} > {old}");
     let late = Order {
@@ -107,9 +107,13 @@
         drain: Some(true),
         ..Order::default()
     };
-    let late = way.engine.order(&server, &late).await;
+    let late = dependencies.engine.order(&server, &late).await;
     assert_eq!(late, Ok(OrderResponse::Fenced));
-    let state = way.engine.order_state(&server).await.expect("its state");
+    let state = dependencies
+        .engine
+        .order_state(&server)
+        .await
+        .expect("its state");
     assert!(!state.draining, "the newer order stands");
 }
 
@@ -118,15 +122,20 @@
     for fencing in [true, false] {
         let cluster = cluster(fencing).await;
         let server = server(&cluster);
-        let way = way(&cluster);
-        let lease = way.store.grant(TIMEOUT * 2).await.expect("a lease");
-        let held = way
+        let dependencies = dependencies(&cluster);
+        let lease = dependencies
+            .store
+            .grant(TIMEOUT * 2)
+            .await
+            .expect("a lease");
+        let held = dependencies
             .store
             .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
             .await
             .expect("the lock");
-        let given = orders::give(&way, &server, &drain(true), fencing, PATIENCE).await;
-        let state = given.expect("it is carried out");
+        let outcome =
+            orders::execute(&dependencies, &server, &drain(true), fencing, PATIENCE).await;
+        let state = outcome.expect("it is carried out");
         assert!(state.draining);
         assert!(state.fencing > held, "{} > {held}", state.fencing);
     }
@@ -136,17 +145,23 @@
 async fn the_lock_of_another_is_respected_and_the_remedy_named() {
     let cluster = cluster(false).await;
     let server = server(&cluster);
-    let way = way(&cluster);
-    let lease = way.store.grant(Duration::from_mins(1)).await;
+    let dependencies = dependencies(&cluster);
+    let lease = dependencies.store.grant(Duration::from_mins(1)).await;
     let lease = lease.expect("a lease");
-    way.store
+    dependencies
+        .store
         .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
         .await
         .expect("the lock");
-    let given = orders::give(&way, &server, &drain(true), false, Duration::ZERO).await;
-    let message = given.expect_err("no lock").to_string();
+    let outcome =
+        orders::execute(&dependencies, &server, &drain(true), false, Duration::ZERO).await;
+    let message = outcome.expect_err("no lock").to_string();
     assert!(message.contains("the other holder is done"), "{message}");
-    let state = way.engine.order_state(&server).await.expect("its state");
+    let state = dependencies
+        .engine
+        .order_state(&server)
+        .await
+        .expect("its state");
     assert!(!state.draining, "no order was sent");
 }
 
@@ -155,13 +170,13 @@
     for lost in 1..5 {
         let cluster = cluster(false).await;
         let server = server(&cluster);
-        let way = way(&cluster);
+        let dependencies = dependencies(&cluster);
         cluster.platform.set_faults(Faults {
             drop_answers: lost,
             ..Faults::default()
         });
-        let given = orders::give(&way, &server, &drain(true), false, PATIENCE).await;
-        assert!(given.expect("it is carried out").draining);
+        let outcome = orders::execute(&dependencies, &server, &drain(true), false, PATIENCE).await;
+        assert!(outcome.expect("it is carried out").draining);
     }
 }
 
@@ -170,15 +185,16 @@
     for fencing in [true, false] {
         let cluster = cluster(fencing).await;
         let server = Arc::new(server(&cluster));
-        let way = Arc::new(way(&cluster));
+        let dependencies = Arc::new(dependencies(&cluster));
         let holders: Vec<_> = (0..6)
             .map(|index| {
-                let (way, server) = (Arc::clone(&way), Arc::clone(&server));
+                let (dependencies, server) = (Arc::clone(&dependencies), Arc::clone(&server));
                 tokio::spawn(async move {
                     let desired = drain(index % 2 == 0);
                     let patience = Duration::from_secs(20);
-                    let given = orders::give(&way, &server, &desired, fencing, patience).await;
-                    given.map(|state| (state.fencing, state.draining, desired.drain))
+                    let outcome =
+                        orders::execute(&dependencies, &server, &desired, fencing, patience).await;
+                    outcome.map(|state| (state.fencing, state.draining, desired.drain))
                 })
             })
             .collect();
@@ -194,13 +210,13 @@
 async fn an_engine_that_is_paused_is_not_reported_as_obeying() {
     let cluster = cluster(true).await;
     let server = server(&cluster);
-    let way = way(&cluster);
+    let dependencies = dependencies(&cluster);
     cluster.engines[0]
         .engine
         .life()
         .pause(Duration::from_mins(1));
-    let given = orders::give(&way, &server, &drain(true), true, PATIENCE).await;
-    let message = given.expect_err("it does not answer").to_string();
+    let outcome = orders::execute(&dependencies, &server, &drain(true), true, PATIENCE).await;
+    let message = outcome.expect_err("it does not answer").to_string();
     assert!(message.contains("order again"), "{message}");
 }
 
--- a/serving/src/context.rs
+++ b/serving/src/context.rs
@@ -71,8 +71,8 @@
 impl Context {
     /// Returns the way in which orders reach backend servers.
     #[must_use]
-    pub fn orders(&self) -> orders::Way<platform::http::Client, backend::http::Client> {
-        orders::Way {
+    pub fn orders(&self) -> orders::Dependencies<platform::http::Client, backend::http::Client> {
+        orders::Dependencies {
             store: self.platform.clone(),
             engine: self.backend.clone(),
             clock: self.clock,
--- a/serving/src/modules/callers/completions.rs
+++ b/serving/src/modules/callers/completions.rs
@@ -200,12 +200,12 @@
 
     /// Streams a generation as server-sent events.
     fn stream(&self, generation: generation::Request, mut sealer: Sealer, response: &mut Response) {
-        let holding = self.context.stops.holding.request();
+        let in_flight = self.context.stops.in_flight.start_request();
         let events = generation::start(Arc::clone(&self.context), generation.clone());
         let _ = response.add_header(RUN, RunStatus::Ran.as_str(), true);
         let _ = response.add_header(REQUEST_ID, generation.request_id.as_ref(), true);
         let events = events.map(move |event| {
-            let _ = &holding;
+            let _ = &in_flight;
             Ok::<_, Infallible>(server_sent_event(&generation, &mut sealer, &event))
         });
         sse::stream(response, events);
@@ -213,7 +213,7 @@
 
     /// Waits for the complete answer and sends it as one response.
     async fn respond(&self, generation: generation::Request, response: &mut Response) {
-        let _holding = self.context.stops.holding.request();
+        let _in_flight = self.context.stops.in_flight.start_request();
         let events = generation::start(Arc::clone(&self.context), generation.clone());
         match collect(events).await {
             Ok((text, reason, tokens, version)) => {
--- a/serving/src/modules/callers/services.rs
+++ b/serving/src/modules/callers/services.rs
@@ -58,7 +58,7 @@
         let now = self.context.clock.now();
         let name = request.param::<String>("service").unwrap_or_default();
         let service = self.service(&name)?;
-        let _holding = self.context.stops.holding.request();
+        let _in_flight = self.context.stops.in_flight.start_request();
         let identifier = self.identifier(request)?;
         let deadline = now + self.timeout(request)?;
         let _reservation = self.reserve_body(request)?;
--- a/serving/src/modules/calls/attempts.rs
+++ b/serving/src/modules/calls/attempts.rs
@@ -155,9 +155,9 @@
     request.call.attempt += 1;
     request.call.timeout = timeout;
     let server = &permit.server;
-    let _holding = context.stops.holding.attempt(&server.name);
+    let _in_flight = context.stops.in_flight.start_attempt(&server.name);
     let route = moves::route(request.call.method.as_str(), &request.call.path);
-    let probe = moves::probe(
+    let meter = moves::meter(
         context,
         &request.service.name,
         &server.version,
@@ -171,7 +171,7 @@
     let response = context.backend.call(server, &request.call);
     let response = tokio::time::timeout(timeout, response.in_span(span)).await;
     let good = matches!(&response, Ok(Ok(reply)) if reply.status < CLIENT_ERROR && !reply.not_run);
-    probe.end_call(!good, !matches!(response, Ok(Ok(_))));
+    meter.end_call(!good, !matches!(response, Ok(Ok(_))));
     let (call_outcome, server_outcome) = match response {
         Ok(Ok(reply)) if reply.not_run => {
             let reason = format!("{} refused it", permit.server.name);
--- a/serving/src/modules/generation.rs
+++ b/serving/src/modules/generation.rs
@@ -13,9 +13,9 @@
 use crate::configs;
 use crate::context::Context;
 use crate::modules::admission::{Outcome as ServerOutcome, Permit, Refusal};
-use crate::modules::moves::{self, Probe};
+use crate::modules::moves::{self, Meter};
 use crate::modules::stops::handover::Prepared;
-use crate::modules::stops::{self, holding};
+use crate::modules::stops::{self, in_flight};
 use crate::telemetry;
 
 mod admit;
@@ -105,9 +105,9 @@
     /// Reservation of the engine's memory; absent for an attempt that another entry started.
     permit: Option<Permit>,
     /// Reports the attempt's behaviour to a move; absent for an attempt that another entry started.
-    probe: Option<Probe>,
+    meter: Option<Meter>,
     /// Counts the attempt among those in progress on the engine.
-    _holding: holding::Attempt,
+    _in_flight: in_flight::Attempt,
 }
 
 /// A generation in progress.
@@ -274,16 +274,16 @@
         attempt: Attempt,
         permit: Option<Permit>,
     ) -> silence::Timer {
-        let probe = permit.is_some().then(|| {
+        let meter = permit.is_some().then(|| {
             let (service, version) = (&self.request.service, &self.request.version);
-            moves::probe(&self.context, service, version, &server.name, "")
+            moves::meter(&self.context, service, version, &server.name, "")
         });
         self.running = Some(Running {
             server: Arc::clone(server),
             attempt,
             permit,
-            probe,
-            _holding: self.context.stops.holding.attempt(&server.name),
+            meter,
+            _in_flight: self.context.stops.in_flight.start_attempt(&server.name),
         });
         self.origin = Arc::new(Origin {
             version: Arc::clone(&self.request.version),
@@ -316,12 +316,12 @@
 
     /// Reports the outcome of the running attempt to admission, and to a move if there is one.
     fn report_outcome(&mut self, outcome: ServerOutcome) {
-        let probe = self
+        let meter = self
             .running
             .as_mut()
-            .and_then(|running| running.probe.take());
-        if let Some(probe) = probe {
-            probe.end(outcome == ServerOutcome::Failed);
+            .and_then(|running| running.meter.take());
+        if let Some(meter) = meter {
+            meter.end(outcome == ServerOutcome::Failed);
         }
         let permit = self
             .running
--- a/serving/src/modules/generation/attempt.rs
+++ b/serving/src/modules/generation/attempt.rs
@@ -149,8 +149,8 @@
                     Verdict::Deliver => {
                         let gap = silence.record_token(&self.context.detector);
                         let running = self.running.as_mut();
-                        if let Some(probe) = running.and_then(|running| running.probe.as_mut()) {
-                            probe.token(gap);
+                        if let Some(meter) = running.and_then(|running| running.meter.as_mut()) {
+                            meter.token(gap);
                         }
                         self.deliver(silence, index, token).await
                     }
--- a/serving/src/modules/metrics.rs
+++ b/serving/src/modules/metrics.rs
@@ -50,13 +50,13 @@
 
     /// Returns the requests admitted in the own failure domain.
     #[must_use]
-    pub fn near(&self) -> u64 {
+    pub fn own_failure_domain(&self) -> u64 {
         self.value(true)
     }
 
     /// Returns the requests admitted elsewhere.
     #[must_use]
-    pub fn far(&self) -> u64 {
+    pub fn other_failure_domains(&self) -> u64 {
         self.value(false)
     }
 
--- a/serving/src/modules/moves.rs
+++ b/serving/src/modules/moves.rs
@@ -14,7 +14,7 @@
 use crate::context::Context;
 
 pub mod driver;
-mod rows;
+mod server_failures;
 pub mod store;
 
 /// Prefix of the keys that hold moves.
@@ -40,7 +40,7 @@
     /// A record was read from the store.
     Stored(Record),
     /// A record came from a peer or an operator.
-    Heard(Record),
+    Received(Record),
     /// A write to the store has ended, with the record that stands there if it was settled.
     Written(Arc<str>, Option<Record>),
 }
@@ -99,13 +99,13 @@
     }
 
     /// Tells the driver of a record.
-    pub async fn tell(&self, message: Message) {
+    pub async fn send(&self, message: Message) {
         let _ = self.messages.send(message).await;
     }
 }
 
 /// Returns whether a move still bears on a declaration: its version is not yet declared.
-fn bears(record: &Record, service: &Service) -> bool {
+fn is_pending(record: &Record, service: &Service) -> bool {
     record.number > service.moved && *record.from == *service.version
 }
 
@@ -116,7 +116,7 @@
 pub fn version(context: &Context, service: &Service, request_id: &str) -> Arc<str> {
     let declared = || Arc::from(service.version.as_str());
     let record = context.moves.last(&service.name);
-    let Some(record) = record.filter(|record| bears(record, service)) else {
+    let Some(record) = record.filter(|record| is_pending(record, service)) else {
         return declared();
     };
     let chosen = record.version(request_id);
@@ -130,7 +130,7 @@
 #[must_use]
 pub fn in_force(context: &Context, service: &Service) -> Arc<str> {
     let record = context.moves.last(&service.name);
-    let done = record.filter(|record| bears(record, service) && record.phase == Phase::Done);
+    let done = record.filter(|record| is_pending(record, service) && record.phase == Phase::Done);
     match done {
         Some(record) => Arc::clone(&record.to),
         None => Arc::from(service.version.as_str()),
@@ -145,7 +145,8 @@
         let declared = declarations.borrow_and_update().service(service).cloned();
         let record = view.borrow_and_update().get(service).cloned();
         let gone = declared.is_some_and(|declared| {
-            let moving = record.filter(|record| bears(record, &declared) && record.share() > 0);
+            let moving =
+                record.filter(|record| is_pending(record, &declared) && record.share() > 0);
             *declared.version != *version && moving.is_none_or(|record| *record.to != *version)
         });
         if gone {
@@ -170,7 +171,7 @@
 
 /// Returns a probe of one attempt; it tells nothing unless the service moves.
 #[must_use]
-pub fn probe(context: &Context, service: &str, version: &str, server: &str, route: &str) -> Probe {
+pub fn meter(context: &Context, service: &str, version: &str, server: &str, route: &str) -> Meter {
     let record = context.moves.last(service);
     let moving = record.filter(|record| matches!(record.phase, Phase::Stage(_)));
     let target = moving.and_then(|record| {
@@ -197,7 +198,7 @@
             },
         })
     });
-    Probe {
+    Meter {
         target,
         started: Instant::now(),
         waited: Duration::ZERO,
@@ -228,7 +229,7 @@
 
 /// Measures one attempt.
 #[derive(Debug)]
-pub struct Probe {
+pub struct Meter {
     target: Option<Target>,
     started: Instant,
     waited: Duration,
@@ -237,7 +238,7 @@
     told: bool,
 }
 
-impl Probe {
+impl Meter {
     /// Notes a token for which `waited` passed; the time that the caller takes is left out.
     pub fn token(&mut self, waited: Duration) {
         if self.target.is_none() {
--- a/serving/src/modules/moves/driver.rs
+++ b/serving/src/modules/moves/driver.rs
@@ -11,8 +11,8 @@
 use rand::seq::IndexedRandom;
 use tokio::sync::mpsc;
 
-use super::rows::Rows;
-use super::{Mailbox, Message, PREFIX, Sample, View, bears, store, unix_ms};
+use super::server_failures::Rows;
+use super::{Mailbox, Message, PREFIX, Sample, View, is_pending, store, unix_ms};
 use crate::context::Context;
 use crate::modules::peers::CALL_TIMEOUT;
 use crate::platform::{Error, Item, Store};
@@ -84,7 +84,7 @@
 /// Tells the driver of a value in the store.
 async fn stored(context: &Context, value: &str) {
     match serde_json::from_str(value) {
-        Ok(record) => context.moves.tell(Message::Stored(record)).await,
+        Ok(record) => context.moves.send(Message::Stored(record)).await,
         Err(error) => {
             log::error!(error = error.to_string().as_str(); "a stored move cannot be read");
         }
@@ -117,7 +117,7 @@
     fn take(&mut self, message: Message) {
         match message {
             Message::Observed(sample) => self.observe(&sample),
-            Message::Stored(record) | Message::Heard(record) => self.learn(record),
+            Message::Stored(record) | Message::Received(record) => self.learn(record),
             Message::Written(service, record) => {
                 if let Some(held) = self.held.get_mut(&service) {
                     held.writing = false;
@@ -272,7 +272,7 @@
         let declaration = declarations.service(service).cloned();
         match held.record.phase {
             Phase::Stage(_) => {
-                let other = declaration.filter(|service| !bears(&held.record, service));
+                let other = declaration.filter(|service| !is_pending(&held.record, service));
                 if let Some(other) = other {
                     let reason = format!("version `{}` was declared meanwhile", other.version);
                     return self.brake(service, &reason);
@@ -284,7 +284,9 @@
                 self.spread(&record);
                 self.write(record);
             }
-            Phase::Done if declaration.is_some_and(|service| bears(&held.record, &service)) => {
+            Phase::Done
+                if declaration.is_some_and(|service| is_pending(&held.record, &service)) =>
+            {
                 let record = held.record.clone();
                 self.declare(record);
             }
--- a/serving/src/modules/moves/store.rs
+++ b/serving/src/modules/moves/store.rs
@@ -178,7 +178,8 @@
         serde_json::from_str(&item.value).map_err(|error| Error::Unsettled {
             reason: format!("a stored declaration cannot be read: {error}"),
         })?;
-    let due = record.phase == Phase::Done && !service.deleted && super::bears(record, &service);
+    let due =
+        record.phase == Phase::Done && !service.deleted && super::is_pending(record, &service);
     if !due {
         return Ok(());
     }
@@ -186,7 +187,7 @@
     service.moved = record.number;
     service.revision += 1;
     service.change_id = format!("move-{}", record.id);
-    apply::remember(&mut service);
+    apply::record_history(&mut service);
     let value = serde_json::to_string(&service).map_err(|error| Error::Unsettled {
         reason: error.to_string(),
     })?;
--- a/serving/src/modules/operators/apply.rs
+++ b/serving/src/modules/operators/apply.rs
@@ -256,7 +256,7 @@
         let mut service = self.change.service.clone();
         service.moved = base.moved;
         service.history.clone_from(&base.history);
-        remember(&mut service);
+        record_history(&mut service);
         service
     }
 
@@ -293,7 +293,7 @@
 }
 
 /// Adds a declaration's own change to its history, and leaves out what is too old.
-pub fn remember(service: &mut Service) {
+pub fn record_history(service: &mut Service) {
     let skipped = (service.history.len() + 1).saturating_sub(HISTORY);
     service.history.drain(..skipped);
     service.history.push(Past {
--- a/serving/src/modules/operators/confirm.rs
+++ b/serving/src/modules/operators/confirm.rs
@@ -35,7 +35,7 @@
 
 /// The question whether a revision is in force.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Question {
+pub struct Query {
     /// Name of the service.
     pub name: Arc<str>,
     /// The revision.
@@ -84,7 +84,7 @@
 ) -> Confirmation {
     let limit = if limit.is_zero() { WAIT_LIMIT } else { limit };
     let deadline = Instant::now() + limit;
-    let question = Question {
+    let question = Query {
         name: Arc::from(name),
         revision,
         domain: true,
@@ -103,7 +103,7 @@
 }
 
 /// Asks all failure domains once.
-async fn everywhere(context: &Arc<Context>, question: &Question) -> Confirmation {
+async fn everywhere(context: &Arc<Context>, question: &Query) -> Confirmation {
     let membership = Arc::clone(&context.membership.view().borrow());
     let mut domains: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for contact in &membership.contacts {
@@ -113,7 +113,7 @@
     let contacts = domains
         .values()
         .filter_map(|contacts| contacts.iter().copied().choose(&mut rand::rng()));
-    let mut found = answer(context, question.clone()).await;
+    let mut found = respond(context, question.clone()).await;
     found.join(ask_all(context, contacts, question, DOMAIN_TIMEOUT).await);
     let listed = Arc::clone(&context.directory.borrow());
     found.missing.extend(listed.entries().keys().cloned());
@@ -121,7 +121,7 @@
 }
 
 /// Answers a question of a peer, after a short wait if the revision is not in force yet.
-pub async fn answer(context: &Arc<Context>, question: Question) -> Confirmation {
+pub async fn respond(context: &Arc<Context>, question: Query) -> Confirmation {
     let mut found = Confirmation::default();
     let own = Arc::clone(&context.settings.entry.name);
     let mut view = context.board.view();
@@ -138,7 +138,7 @@
     side.insert(own);
     if question.domain {
         let membership = Arc::clone(&context.membership.view().borrow());
-        let question = Question {
+        let question = Query {
             domain: false,
             ..question
         };
@@ -157,7 +157,7 @@
 async fn ask_all<'a>(
     context: &Arc<Context>,
     members: impl Iterator<Item = &'a Member>,
-    question: &Question,
+    question: &Query,
     timeout: Duration,
 ) -> Confirmation {
     let asked: Vec<(Arc<str>, SocketAddr)> = members
--- a/serving/src/modules/operators/moves.rs
+++ b/serving/src/modules/operators/moves.rs
@@ -34,7 +34,7 @@
 ) -> Result<rpc::MoveState, Status> {
     let record = check(context, &request)?;
     let stored = store::start(&context.platform, &record).await?;
-    context.moves.tell(Message::Stored(stored.clone())).await;
+    context.moves.send(Message::Stored(stored.clone())).await;
     Ok(state(&stored))
 }
 
@@ -93,7 +93,7 @@
         }
         (Err(error), _) => return Err(error.into()),
     };
-    context.moves.tell(Message::Heard(record.clone())).await;
+    context.moves.send(Message::Received(record.clone())).await;
     Ok(state(&record))
 }
 
@@ -109,7 +109,7 @@
         let message = format!("service `{service}` has no such last move {id}: start one first");
         Status::not_found(message)
     })?;
-    context.moves.tell(Message::Stored(stored.clone())).await;
+    context.moves.send(Message::Stored(stored.clone())).await;
     Ok(stored)
 }
 
--- a/serving/src/modules/operators/orders.rs
+++ b/serving/src/modules/operators/orders.rs
@@ -48,7 +48,7 @@
         ));
     }
     let enforced = context.enforces_fencing(&server);
-    let state = orders::give(&context.orders(), &server, &desired, enforced, PATIENCE).await?;
+    let state = orders::execute(&context.orders(), &server, &desired, enforced, PATIENCE).await?;
     Ok(rpc::OrderReply {
         fencing: state.fencing,
         versions: state.versions.into_iter().collect(),
--- a/serving/src/modules/operators/stops.rs
+++ b/serving/src/modules/operators/stops.rs
@@ -163,7 +163,7 @@
     let stop = item.and_then(|item| serde_json::from_str::<Stop>(&item.value).ok());
     match stop {
         Some(stop) => {
-            context.stops.take([stop], context.clock);
+            context.stops.record([stop], context.clock);
             Ok(())
         }
         None => Err(Status::not_found(format!(
@@ -238,7 +238,7 @@
     }
     let entry = &context.settings.entry;
     if target.covers_entry(&entry.name, &entry.failure_domain) {
-        let own = context.stops.holding.requests();
+        let own = context.stops.in_flight.requests();
         progress.holders.push(rpc::StopHolder {
             name: entry.name.to_string(),
             own,
@@ -250,7 +250,7 @@
 
 /// Returns a server's name, this entry's requests there and what the server says it runs.
 async fn at(context: &Context, server: &Server) -> (String, u64, Option<u64>) {
-    let own = context.stops.holding.at(&server.name);
+    let own = context.stops.in_flight.attempts_at(&server.name);
     let reported = match server.role {
         Role::Service => Some(own),
         Role::Engine => {
--- a/serving/src/modules/orders.rs
+++ b/serving/src/modules/orders.rs
@@ -33,7 +33,7 @@
 impl Desired {
     /// Returns whether a server is in this state.
     #[must_use]
-    pub fn holds(&self, state: &OrderState) -> bool {
+    pub fn matches(&self, state: &OrderState) -> bool {
         let versions = self.versions.as_ref();
         let role = self.role.as_ref();
         versions.is_none_or(|versions| *versions == state.versions)
@@ -77,7 +77,7 @@
 
 /// How orders reach a server.
 #[derive(Clone, Debug)]
-pub struct Way<S, E> {
+pub struct Dependencies<S, E> {
     /// The platform's store.
     pub store: S,
     /// The adapter to the server.
@@ -88,9 +88,9 @@
     pub settings: Orders,
 }
 
-/// One order on its way.
+/// One order on its dependencies.
 struct Task<'a, S, E> {
-    way: &'a Way<S, E>,
+    dependencies: &'a Dependencies<S, E>,
     server: &'a Server,
     desired: &'a Desired,
     token: String,
@@ -105,23 +105,23 @@
 /// # Errors
 ///
 /// Returns why the server is not known to be in the state.
-pub async fn give<S: Store, E: Engine>(
-    way: &Way<S, E>,
+pub async fn execute<S: Store, E: Engine>(
+    dependencies: &Dependencies<S, E>,
     server: &Server,
     desired: &Desired,
     enforced: bool,
     patience: Duration,
 ) -> Result<OrderState, Error> {
     let mut task = Task {
-        way,
+        dependencies,
         server,
         desired,
         token: Uuid::now_v7().to_string(),
         lease: None,
-        holder: Holder::new(way.settings.policy, enforced),
+        holder: Holder::new(dependencies.settings.policy, enforced),
         reason: "no order was sent".to_owned(),
     };
-    let deadline = way.clock.now() + patience;
+    let deadline = dependencies.clock.now() + patience;
     let ending = task.run(deadline).await?;
     let state = task.end(ending.outcome).await;
     if ending.release {
@@ -134,20 +134,21 @@
     /// Does what the holder says until it has ended.
     async fn run(&mut self, deadline: Duration) -> Result<Ending, Error> {
         loop {
-            let now = self.way.clock.now();
+            let now = self.dependencies.clock.now();
             match self.holder.next(now) {
                 Action::Acquire => self.acquire(deadline).await?,
                 Action::Wait { until } => {
-                    tokio::time::sleep_until(self.way.clock.instant(until)).await;
+                    tokio::time::sleep_until(self.dependencies.clock.instant(until)).await;
                 }
                 Action::Read => {
                     let state = self.state().await;
-                    let in_state = state.map(|state| self.desired.holds(&state));
+                    let in_state = state.map(|state| self.desired.matches(&state));
                     self.holder.record_read(in_state);
                 }
                 Action::Order { fencing } => {
                     let answer = self.order(fencing).await;
-                    self.holder.record_answer(self.way.clock.now(), answer);
+                    self.holder
+                        .record_answer(self.dependencies.clock.now(), answer);
                 }
                 Action::End(ending) => return Ok(ending),
             }
@@ -159,10 +160,10 @@
         match self.lock().await {
             Ok((fencing, until)) => {
                 self.holder
-                    .record_acquired(self.way.clock.now(), fencing, until);
+                    .record_acquired(self.dependencies.clock.now(), fencing, until);
                 Ok(())
             }
-            Err(reason) if self.way.clock.now() >= deadline => Err(Error::NoLock {
+            Err(reason) if self.dependencies.clock.now() >= deadline => Err(Error::NoLock {
                 server: Arc::clone(&self.server.name),
                 reason,
             }),
@@ -175,13 +176,13 @@
 
     /// Asks for the lock; returns its revision and until when its lease surely lasts.
     async fn lock(&mut self) -> Result<(u64, Duration), String> {
-        let asked = self.way.clock.now();
+        let asked = self.dependencies.clock.now();
         let key = format!("{PREFIX}{}", self.server.name);
-        let duration = self.way.settings.lease();
-        let lease = self.way.store.grant(duration).await;
+        let duration = self.dependencies.settings.lease();
+        let lease = self.dependencies.store.grant(duration).await;
         let lease = lease.map_err(|error| error.to_string())?;
         let put = self
-            .way
+            .dependencies
             .store
             .put(&key, self.token.clone(), 0, Some(lease))
             .await;
@@ -198,7 +199,7 @@
             }
             Err(reason) => {
                 // What cannot be revoked runs out.
-                let _ = self.way.store.revoke(lease).await;
+                let _ = self.dependencies.store.revoke(lease).await;
                 Err(reason)
             }
         }
@@ -206,14 +207,14 @@
 
     /// Returns the revision of the lock if it turns out to be this holder's.
     async fn settle(&self, key: &str) -> Option<u64> {
-        let item = self.way.store.get(key).await.ok()??;
+        let item = self.dependencies.store.get(key).await.ok()??;
         (item.value == self.token).then_some(item.revision)
     }
 
     /// Reads the state of the server, or nothing if it cannot be read.
     async fn state(&mut self) -> Option<OrderState> {
-        let timeout = self.way.settings.policy.order_timeout;
-        let read = self.way.engine.order_state(self.server);
+        let timeout = self.dependencies.settings.policy.order_timeout;
+        let read = self.dependencies.engine.order_state(self.server);
         match tokio::time::timeout(timeout, read).await {
             Ok(Ok(state)) => Some(state),
             Ok(Err(error)) => {
@@ -235,8 +236,8 @@
             role: self.desired.role.clone(),
             drain: self.desired.drain,
         };
-        let timeout = self.way.settings.policy.order_timeout;
-        let sent = self.way.engine.order(self.server, &order);
+        let timeout = self.dependencies.settings.policy.order_timeout;
+        let sent = self.dependencies.engine.order(self.server, &order);
         match tokio::time::timeout(timeout, sent).await {
             Ok(Ok(OrderResponse::Done(_))) => Answer::Done,
             Ok(Ok(OrderResponse::Fenced)) => Answer::Fenced,
@@ -259,7 +260,7 @@
     async fn release(&mut self) {
         if let Some(lease) = self.lease.take() {
             // What cannot be revoked runs out.
-            let _ = self.way.store.revoke(lease).await;
+            let _ = self.dependencies.store.revoke(lease).await;
         }
     }
 
--- a/serving/src/modules/peers.rs
+++ b/serving/src/modules/peers.rs
@@ -32,7 +32,7 @@
 use crate::configs::keys::Secret;
 use crate::context::Context;
 use crate::modules::moves;
-use crate::modules::operators::confirm::{self, Confirmation, Question};
+use crate::modules::operators::confirm::{self, Confirmation, Query};
 use crate::modules::spread::{
     DeclarationsExchange, DeclarationsMessage, Exchange, InstancesExchange, InstancesMessage,
 };
@@ -84,7 +84,7 @@
     /// Takes the planned stops that a peer knows of and returns those known here.
     async fn stops(known: Vec<Stop>) -> Vec<Stop>;
     /// Returns where a revision is in force.
-    async fn confirm(question: Question) -> Confirmation;
+    async fn confirm(question: Query) -> Confirmation;
 }
 
 /// Why a peer could not be asked.
@@ -227,7 +227,7 @@
 
 impl Peer for Handle {
     async fn stops(self, _: context::Context, known: Vec<Stop>) -> Vec<Stop> {
-        self.context.stops.take(known, self.context.clock);
+        self.context.stops.record(known, self.context.clock);
         self.context.stops.stored()
     }
 
@@ -236,7 +236,10 @@
     }
 
     async fn moved(self, _: context::Context, record: rollout::Record) {
-        self.context.moves.tell(moves::Message::Heard(record)).await;
+        self.context
+            .moves
+            .send(moves::Message::Received(record))
+            .await;
     }
 
     async fn claim(self, _: context::Context, claimer: Claimer, wait_ms: u64) -> Option<Status> {
@@ -268,8 +271,8 @@
         Exchange { loaded, message }
     }
 
-    async fn confirm(self, _: context::Context, question: Question) -> Confirmation {
-        confirm::answer(&self.context, question).await
+    async fn confirm(self, _: context::Context, question: Query) -> Confirmation {
+        confirm::respond(&self.context, question).await
     }
 }
 
--- a/serving/src/modules/stops.rs
+++ b/serving/src/modules/stops.rs
@@ -18,10 +18,10 @@
 mod drain;
 mod follow;
 pub mod handover;
-pub mod holding;
-mod share;
+pub mod in_flight;
+mod peer_exchange;
 
-use holding::Holding;
+use in_flight::InFlight;
 
 /// Prefix of the keys that hold planned stops.
 pub const PREFIX: &str = "stops/";
@@ -133,7 +133,7 @@
     declared: watch::Sender<Arc<Declared>>,
     own: watch::Sender<Option<Leave>>,
     /// Requests of this entry in progress, by backend server.
-    pub holding: Holding,
+    pub in_flight: InFlight,
 }
 
 impl Default for Stops {
@@ -149,7 +149,7 @@
         Self {
             declared: watch::Sender::new(Arc::default()),
             own: watch::Sender::new(None),
-            holding: Holding::new(),
+            in_flight: InFlight::new(),
         }
     }
 
@@ -161,7 +161,7 @@
 
     /// Returns whether this entry is leaving, and tells of changes.
     #[must_use]
-    pub fn own(&self) -> watch::Receiver<Option<Leave>> {
+    pub fn own_leave(&self) -> watch::Receiver<Option<Leave>> {
         self.own.subscribe()
     }
 
@@ -177,7 +177,7 @@
     }
 
     /// Takes stops that the store or a peer told of; returns whether any was new.
-    pub fn take(&self, stops: impl IntoIterator<Item = Stop>, clock: Clock) -> bool {
+    pub fn record(&self, stops: impl IntoIterator<Item = Stop>, clock: Clock) -> bool {
         self.take_all(stops, false, clock)
     }
 
@@ -261,7 +261,7 @@
             () = follow::store(&context) => {}
             () = follow::own(&context) => {}
             () = drain::run(&context) => {}
-            () = share::run(&context) => {}
+            () = peer_exchange::run(&context) => {}
         }
     });
 }
@@ -272,13 +272,13 @@
     let until = context.clock.now() + context.settings.stops.entry_window;
     context.stops.own.send_replace(Some(Leave { until }));
     log::info!("leaving: no new requests are taken");
-    let ended = context.stops.holding.none();
+    let ended = context.stops.in_flight.wait_idle();
     let whole = tokio::time::timeout_at(context.clock.instant(until), ended)
         .await
         .is_ok();
     if !whole {
         // The callers have been told; what is left is to let them read it.
-        let told = context.stops.holding.none();
+        let told = context.stops.in_flight.wait_idle();
         let _ = tokio::time::timeout(FLUSH_GRACE, told).await;
     }
     tokio::time::sleep(FLUSH_GRACE).await;
@@ -287,7 +287,7 @@
 
 /// Waits until this entry leaves and its window for requests in progress is over.
 pub async fn window_over(context: &Context) {
-    let mut own = context.stops.own();
+    let mut own = context.stops.own_leave();
     loop {
         let until = own.borrow_and_update().map(|leave| leave.until);
         let over = async {
--- a/serving/src/modules/stops/drain.rs
+++ b/serving/src/modules/stops/drain.rs
@@ -137,7 +137,7 @@
         ..Desired::default()
     };
     let enforced = context.enforces_fencing(server);
-    let given = orders::give(
+    let given = orders::execute(
         &context.orders(),
         server,
         &desired,
--- a/serving/src/modules/stops/follow.rs
+++ b/serving/src/modules/stops/follow.rs
@@ -47,7 +47,7 @@
             None
         }
     });
-    context.stops.take(stops, context.clock);
+    context.stops.record(stops, context.clock);
 }
 
 /// Leaves when a planned stop covers this entry, and stays when it is cancelled.
--- a/serving/src/modules/stops/holding.rs
+++ b/serving/src/modules/stops/in_flight.rs
@@ -10,7 +10,7 @@
 
 /// Requests in progress.
 #[derive(Debug)]
-pub struct Holding {
+pub struct InFlight {
     requests: watch::Sender<u64>,
     servers: watch::Sender<Counts>,
 }
@@ -26,13 +26,13 @@
     server: Arc<str>,
 }
 
-impl Default for Holding {
+impl Default for InFlight {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Holding {
+impl InFlight {
     /// Returns a count of nothing.
     #[must_use]
     pub fn new() -> Self {
@@ -44,14 +44,14 @@
 
     /// Counts a request until the returned guard is dropped.
     #[must_use]
-    pub fn request(&self) -> Request {
+    pub fn start_request(&self) -> Request {
         self.requests.send_modify(|requests| *requests += 1);
         Request(self.requests.clone())
     }
 
     /// Counts an attempt at a backend server until the returned guard is dropped.
     #[must_use]
-    pub fn attempt(&self, server: &Arc<str>) -> Attempt {
+    pub fn start_attempt(&self, server: &Arc<str>) -> Attempt {
         self.servers.send_modify(|servers| {
             *servers.entry(Arc::clone(server)).or_default() += 1;
         });
@@ -63,7 +63,7 @@
 
     /// Returns the number of attempts at a backend server in progress.
     #[must_use]
-    pub fn at(&self, server: &str) -> u64 {
+    pub fn attempts_at(&self, server: &str) -> u64 {
         self.servers.borrow().get(server).copied().unwrap_or(0)
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Waits until no request is in progress.
-    pub async fn none(&self) {
+    pub async fn wait_idle(&self) {
         let mut requests = self.requests.subscribe();
         let _ = requests.wait_for(|requests| *requests == 0).await;
     }
--- a/serving/src/modules/stops/share.rs
+++ b/serving/src/modules/stops/peer_exchange.rs
@@ -56,7 +56,7 @@
         });
     match call.await {
         Ok(known) => {
-            context.stops.take(known, context.clock);
+            context.stops.record(known, context.clock);
         }
         Err(error) => log::debug!(error:% = error; "a peer could not be told of planned stops"),
     }
