--- a/serving/src/modules/moves.rs
+++ b/serving/src/modules/moves.rs
@@ -1,5 +1,8 @@
-//! Moves of services to another version: which version a request goes to, and what its attempts
-//! show.
+//! Moves of services to another version: chooses the version that a request is sent to, and
+//! measures the attempts at both versions.
+//!
+//! A move is the roll-out of a service's new version in stages. Each entry compares the new version
+//! with the old one by its own attempts; [`driver`] decides on that evidence.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,66 +23,67 @@
 /// Prefix of the keys that hold moves.
 pub const PREFIX: &str = "moves/";
 
-/// Observations that wait for the driver, at most; further ones are dropped.
-const MAILBOX: usize = 8_192;
+/// Messages that may wait for the driver; further samples are dropped.
+const MAILBOX_CAPACITY: usize = 8_192;
 
-/// Tokens after which a generation's times are told before it ends.
-const EARLY_TOKENS: u32 = 16;
+/// Tokens after which the latencies of a generation are reported, without waiting for its end.
+const EARLY_REPORT_TOKENS: u32 = 16;
 
-/// Fewest tokens from which the time between them is told.
-const FEWEST_TOKENS: u32 = 4;
+/// Fewest tokens from which the time between tokens is reported.
+const MIN_GAP_TOKENS: u32 = 4;
 
-/// The last move of each service, as far as this entry knows.
+/// The latest move of each service that this entry knows of.
 pub type View = BTreeMap<Arc<str>, Arc<Record>>;
 
-/// What the driver is told.
+/// An input of the driver.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// An attempt showed something.
+    /// An attempt was measured.
     Observed(Sample),
     /// A record was read from the store.
     Stored(Record),
-    /// A record came from a peer or an operator.
+    /// A record was received from a peer or an operator.
     Received(Record),
-    /// A write to the store has ended, with the record that stands there if it was settled.
+    /// A write to the store has ended. Holds the record that is then stored, or nothing if this is
+    /// not known.
     Written(Arc<str>, Option<Record>),
 }
 
-/// What an attempt at a service showed.
+/// A measurement of one attempt at a service.
 #[derive(Clone, Debug)]
 pub struct Sample {
     /// The service.
     pub service: Arc<str>,
     /// Number of the move.
     pub number: u64,
-    /// Backend server that was asked.
+    /// Backend server that the attempt was sent to.
     pub server: Arc<str>,
-    /// Whether the attempt was cut off, which the death of one backend server explains as well.
-    pub cut: bool,
-    /// What was seen.
+    /// Whether the attempt failed in a way that the crash of one backend server explains as well.
+    pub interrupted: bool,
+    /// What was measured.
     pub observation: Observation,
 }
 
-/// The other modules' hold on moves.
+/// Access to moves for other modules.
 #[derive(Clone, Debug)]
 pub struct Handle {
-    /// The last move of each service.
+    /// The latest move of each service.
     pub view: watch::Receiver<Arc<View>>,
     messages: mpsc::Sender<Message>,
 }
 
-/// What the driver is started with.
+/// The driver's ends of the channels.
 #[derive(Debug)]
 pub struct Mailbox {
     view: watch::Sender<Arc<View>>,
     messages: mpsc::Receiver<Message>,
 }
 
-/// Returns the two ends of the moves' mailbox.
+/// Creates the channels between the driver and the other modules.
 #[must_use]
 pub fn mailbox() -> (Handle, Mailbox) {
     let (view_sender, view) = watch::channel(Arc::default());
-    let (sender, messages) = mpsc::channel(MAILBOX);
+    let (sender, messages) = mpsc::channel(MAILBOX_CAPACITY);
     let handle = Handle {
         view,
         messages: sender,
@@ -92,26 +96,27 @@
 }
 
 impl Handle {
-    /// Returns the last move of a service.
+    /// Returns the latest known move of a service.
     #[must_use]
     pub fn last(&self, service: &str) -> Option<Arc<Record>> {
         self.view.borrow().get(service).cloned()
     }
 
-    /// Tells the driver of a record.
+    /// Sends a message to the driver; waits while its mailbox is full.
     pub async fn send(&self, message: Message) {
         let _ = self.messages.send(message).await;
     }
 }
 
-/// Returns whether a move still bears on a declaration: its version is not yet declared.
+/// Returns whether a move still applies to a declaration: it starts from the declared version, and
+/// its own version has not been declared yet.
 fn is_pending(record: &Record, service: &Service) -> bool {
     record.number > service.moved && *record.from == *service.version
 }
 
-/// Returns the version that a new request goes to.
+/// Returns the version that a new request is sent to.
 ///
-/// While no backend server of the new version is known, requests stay with the old one.
+/// The declared version is used while no backend server of the new version is known.
 #[must_use]
 pub fn version(context: &Context, service: &Service, request_id: &str) -> Arc<str> {
     let declared = || Arc::from(service.version.as_str());
@@ -120,13 +125,14 @@
         return declared();
     };
     let chosen = record.version(request_id);
-    if served(context, &service.name, chosen) {
+    if has_server(context, &service.name, chosen) {
         return Arc::clone(chosen);
     }
     declared()
 }
 
-/// Returns the version that is proved: the one that a move has come to, or the declared one.
+/// Returns the version that needs no further evidence: that of a completed move, or else the
+/// declared one.
 #[must_use]
 pub fn in_force(context: &Context, service: &Service) -> Arc<str> {
     let record = context.moves.last(&service.name);
@@ -137,19 +143,19 @@
     }
 }
 
-/// Waits until requests of a service no longer go to a version.
+/// Waits until new requests of a service are no longer sent to a version.
 pub async fn withdrawn(context: &Context, service: &str, version: &str) {
     let mut declarations = context.declarations.clone();
     let mut view = context.moves.view.clone();
     loop {
         let declared = declarations.borrow_and_update().service(service).cloned();
         let record = view.borrow_and_update().get(service).cloned();
-        let gone = declared.is_some_and(|declared| {
+        let withdrawn = declared.is_some_and(|declared| {
             let moving =
                 record.filter(|record| is_pending(record, &declared) && record.share() > 0);
             *declared.version != *version && moving.is_none_or(|record| *record.to != *version)
         });
-        if gone {
+        if withdrawn {
             return;
         }
         let closed = tokio::select! {
@@ -162,33 +168,33 @@
     }
 }
 
-/// Returns whether a backend server that is not leaving serves a version.
-fn served(context: &Context, service: &str, version: &str) -> bool {
+/// Returns whether a version has a backend server that is not leaving.
+fn has_server(context: &Context, service: &str, version: &str) -> bool {
     let directory = Arc::clone(&context.directory.borrow());
     let mut servers = directory.servers(service).iter();
     servers.any(|server| *server.version == *version && !server.leaving)
 }
 
-/// Returns a probe of one attempt; it tells nothing unless the service moves.
+/// Returns a meter for one attempt; it reports only while the service is in a stage of a move.
 #[must_use]
 pub fn meter(context: &Context, service: &str, version: &str, server: &str, route: &str) -> Meter {
     let record = context.moves.last(service);
     let moving = record.filter(|record| matches!(record.phase, Phase::Stage(_)));
-    let target = moving.and_then(|record| {
-        let side = match version {
+    let reporter = moving.and_then(|record| {
+        let cohort = match version {
             version if *version == *record.to => Cohort::Canary,
             version if *version == *record.from => Cohort::Baseline,
             _ => return None,
         };
-        Some(Target {
+        Some(Reporter {
             messages: context.moves.messages.clone(),
             sample: Sample {
                 service: Arc::from(service),
                 number: record.number,
                 server: Arc::from(server),
-                cut: false,
+                interrupted: false,
                 observation: Observation {
-                    cohort: side,
+                    cohort,
                     route: Arc::from(route),
                     failed: None,
                     first: None,
@@ -199,27 +205,27 @@
         })
     });
     Meter {
-        target,
+        reporter,
         started: Instant::now(),
-        waited: Duration::ZERO,
+        token_time: Duration::ZERO,
         tokens: 0,
         first: None,
-        told: false,
+        times_reported: false,
     }
 }
 
-/// Where a probe tells what it has seen.
+/// Sends the measurements of one attempt to the driver.
 #[derive(Debug)]
-struct Target {
+struct Reporter {
     messages: mpsc::Sender<Message>,
     sample: Sample,
 }
 
-impl Target {
-    /// Tells what was seen, unless the driver is far behind.
-    fn tell(&self, cut: bool, observation: Observation) {
+impl Reporter {
+    /// Sends an observation; drops it if the driver's mailbox is full.
+    fn report(&self, interrupted: bool, observation: Observation) {
         let sample = Sample {
-            cut,
+            interrupted,
             observation,
             ..self.sample.clone()
         };
@@ -227,73 +233,76 @@
     }
 }
 
-/// Measures one attempt.
+/// Measures one attempt at a service that is being moved.
 #[derive(Debug)]
 pub struct Meter {
-    target: Option<Target>,
+    reporter: Option<Reporter>,
     started: Instant,
-    waited: Duration,
+    /// Time spent waiting for tokens after the first one.
+    token_time: Duration,
     tokens: u32,
     first: Option<Duration>,
-    told: bool,
+    times_reported: bool,
 }
 
 impl Meter {
-    /// Notes a token for which `waited` passed; the time that the caller takes is left out.
+    /// Records a token that took `waited` to arrive, without the time that the caller took to read.
     pub fn token(&mut self, waited: Duration) {
-        if self.target.is_none() {
+        if self.reporter.is_none() {
             return;
         }
         if self.tokens == 0 {
             self.first = Some(self.started.elapsed());
         } else {
-            self.waited += waited;
+            self.token_time += waited;
         }
         self.tokens += 1;
-        if self.tokens == EARLY_TOKENS {
-            self.tell(None);
+        if self.tokens == EARLY_REPORT_TOKENS {
+            self.report(None);
         }
     }
 
-    /// Notes that a generation's attempt has ended.
+    /// Records the end of an attempt at a generation.
     pub fn end(mut self, failed: bool) {
-        self.tell(Some(failed));
+        self.report(Some(failed));
     }
 
-    /// Notes that a call has ended, or was `cut` off; only the time of a good one is compared.
-    pub fn end_call(self, failed: bool, cut: bool) {
-        let Some(target) = &self.target else {
+    /// Records the end of a call; `interrupted` says that no response arrived. Only the durations of
+    /// successful calls are compared.
+    pub fn end_call(self, failed: bool, interrupted: bool) {
+        let Some(reporter) = &self.reporter else {
             return;
         };
         let call = (!failed).then(|| self.started.elapsed());
         let observation = Observation {
             failed: Some(failed),
             call,
-            ..target.sample.observation.clone()
+            ..reporter.sample.observation.clone()
         };
-        target.tell(cut, observation);
+        reporter.report(interrupted, observation);
     }
 
-    /// Tells the times once, and how the attempt ended.
-    fn tell(&mut self, failed: Option<bool>) {
-        let Some(target) = &self.target else {
+    /// Reports the latencies, once per attempt, and how the attempt ended.
+    fn report(&mut self, failed: Option<bool>) {
+        let Some(reporter) = &self.reporter else {
             return;
         };
-        let times = !self.told;
+        let with_times = !self.times_reported;
         let gaps = self.tokens.saturating_sub(1);
-        let gap = (times && self.tokens >= FEWEST_TOKENS).then(|| self.waited / gaps);
+        let gap = (with_times && self.tokens >= MIN_GAP_TOKENS).then(|| self.token_time / gaps);
         let observation = Observation {
             failed,
-            first: self.first.filter(|_| times),
+            first: self.first.filter(|_| with_times),
             gap,
-            ..target.sample.observation.clone()
+            ..reporter.sample.observation.clone()
         };
-        target.tell(failed == Some(true), observation);
-        self.told = true;
+        reporter.report(failed == Some(true), observation);
+        self.times_reported = true;
     }
 }
 
-/// Returns the route of a call to a plain service: its method and the first part of its path.
+/// Returns the route by which calls to a plain service are compared: the method and the first
+/// segment of the path.
 #[must_use]
 pub fn route(method: &str, path: &str) -> String {
     let end = path
@@ -304,7 +313,7 @@
     format!("{method} {first}")
 }
 
-/// Returns the time in milliseconds of Unix time.
+/// Returns the current Unix time in milliseconds.
 #[must_use]
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now()
--- a/serving/src/modules/moves/driver.rs
+++ b/serving/src/modules/moves/driver.rs
@@ -1,4 +1,5 @@
-//! The task that drives moves: it judges the evidence, brakes, advances and records.
+//! The task that drives moves: it collects evidence, advances a move to its next stage or brakes it,
+//! and stores the outcome.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,7 +12,7 @@
 use rand::seq::IndexedRandom;
 use tokio::sync::mpsc;
 
-use super::server_failures::Rows;
+use super::server_failures::ServerFailures;
 use super::{Mailbox, Message, PREFIX, Sample, View, is_pending, store, unix_ms};
 use crate::context::Context;
 use crate::modules::peers::CALL_TIMEOUT;
@@ -20,54 +21,57 @@
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Peers that each entry tells of a brake or an end.
-const FANOUT: usize = 8;
+/// Peers to which each entry announces a braked or ended move.
+const ANNOUNCE_FANOUT: usize = 8;
 
-/// A move that this entry follows.
+/// A move that this entry tracks.
 #[derive(Debug)]
-struct Held {
+struct Tracked {
     record: Record,
     evidence: Evidence,
-    since: Duration,
-    writing: bool,
+    /// Start of the current stage, by the entry's clock.
+    stage_started: Duration,
+    /// Whether a write of this move to the store is in progress.
+    write_in_progress: bool,
+    /// Earliest start of the next write, by the entry's clock.
     write_after: Duration,
-    rows: Rows,
+    server_failures: ServerFailures,
 }
 
-/// Starts the tasks that follow the store and drive the moves.
+/// Starts the task that watches the store and drives the moves.
 pub fn start(context: &Arc<Context>, mailbox: Mailbox) {
     let driver = Driver {
         context: Arc::clone(context),
         messages: context.moves.messages.clone(),
         view: mailbox.view,
-        held: BTreeMap::new(),
+        tracked: BTreeMap::new(),
     };
     let stop = context.stop.clone();
     let context = Arc::clone(context);
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = keep_current(&context) => {}
+            () = watch_store(&context) => {}
             () = driver.run(mailbox.messages) => {}
         }
     });
 }
 
-/// Lists the moves, then follows their changes, for ever.
-async fn keep_current(context: &Context) {
+/// Lists the stored moves and watches their changes; starts again after each failed call.
+async fn watch_store(context: &Context) {
     loop {
-        if let Err(error) = follow(context).await {
-            log::warn!(error = error.to_string().as_str(); "the moves cannot be read; those known stay");
+        if let Err(error) = list_and_watch(context).await {
+            log::warn!(error = error.to_string().as_str(); "moves could not be read from the store; continuing with the known ones");
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Lists the moves, then follows their changes until a call fails.
-async fn follow(context: &Context) -> Result<(), Error> {
+/// Lists the stored moves, then watches their changes until a call fails.
+async fn list_and_watch(context: &Context) -> Result<(), Error> {
     let listing = context.platform.list(PREFIX).await?;
     for Item { value, .. } in &listing.items {
-        stored(context, value).await;
+        send_stored(context, value).await;
     }
     let mut revision = listing.revision;
     loop {
@@ -75,169 +79,177 @@
         let changes = context.platform.watch(PREFIX, revision, timeout).await?;
         let values = changes.changes.iter();
         for value in values.filter_map(|change| change.value.as_deref()) {
-            stored(context, value).await;
+            send_stored(context, value).await;
         }
         revision = changes.revision;
     }
 }
 
-/// Tells the driver of a value in the store.
-async fn stored(context: &Context, value: &str) {
+/// Sends a stored value to the driver; skips one that cannot be parsed.
+async fn send_stored(context: &Context, value: &str) {
     match serde_json::from_str(value) {
         Ok(record) => context.moves.send(Message::Stored(record)).await,
         Err(error) => {
-            log::error!(error = error.to_string().as_str(); "a stored move cannot be read");
+            log::error!(error = error.to_string().as_str(); "stored move could not be parsed; ignoring it");
         }
     }
 }
 
-/// Drives the moves.
+/// The state of the task that drives moves.
 #[derive(Debug)]
 struct Driver {
     context: Arc<Context>,
     messages: mpsc::Sender<Message>,
     view: tokio::sync::watch::Sender<Arc<View>>,
-    held: BTreeMap<Arc<str>, Held>,
+    tracked: BTreeMap<Arc<str>, Tracked>,
 }
 
 impl Driver {
-    /// Takes messages and looks at the evidence, for ever.
+    /// Handles messages and evaluates all moves at each tick; never returns.
     async fn run(mut self, mut messages: mpsc::Receiver<Message>) {
         let mut ticks = tokio::time::interval(self.context.settings.moves.interval);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                Some(message) = messages.recv() => self.take(message),
-                _ = ticks.tick() => self.look_at_all(),
+                Some(message) = messages.recv() => self.handle(message),
+                _ = ticks.tick() => self.evaluate_all(),
             }
         }
     }
 
-    /// Takes one message.
-    fn take(&mut self, message: Message) {
+    /// Handles one message.
+    fn handle(&mut self, message: Message) {
         match message {
             Message::Observed(sample) => self.observe(&sample),
-            Message::Stored(record) | Message::Received(record) => self.learn(record),
+            Message::Stored(record) | Message::Received(record) => self.merge(record),
             Message::Written(service, record) => {
-                if let Some(held) = self.held.get_mut(&service) {
-                    held.writing = false;
+                if let Some(tracked) = self.tracked.get_mut(&service) {
+                    tracked.write_in_progress = false;
                     let failed = record.is_none();
-                    held.write_after = self.context.clock.now()
+                    tracked.write_after = self.context.clock.now()
                         + if failed { RETRY_PAUSE } else { Duration::ZERO };
                 }
                 if let Some(record) = record {
-                    self.learn(record);
+                    self.merge(record);
                 }
             }
         }
     }
 
-    /// Merges a record into what is known and publishes it if that changed.
-    fn learn(&mut self, record: Record) {
+    /// Merges a record into the known one and publishes the result if it changed.
+    fn merge(&mut self, record: Record) {
         let now = self.context.clock.now();
         let service = Arc::clone(&record.service);
-        let Some(held) = self.held.get_mut(&service) else {
-            let held = self.hold(record, now);
-            self.held.insert(Arc::clone(&service), held);
+        let Some(tracked) = self.tracked.get_mut(&service) else {
+            let tracked = self.track(record, now);
+            self.tracked.insert(Arc::clone(&service), tracked);
             self.publish(&service);
             return;
         };
-        let joined = held.record.clone().join(record);
-        if joined == held.record {
+        let joined = tracked.record.clone().join(record);
+        if joined == tracked.record {
             return;
         }
-        if joined.number == held.record.number {
-            held.evidence.begin_stage(joined.share() == FULL_SHARE);
-            held.since = now;
-            held.record = joined;
+        if joined.number == tracked.record.number {
+            tracked.evidence.begin_stage(joined.share() == FULL_SHARE);
+            tracked.stage_started = now;
+            tracked.record = joined;
         } else {
-            let writing = held.writing;
-            let fresh = self.hold(joined, now);
-            self.held
-                .insert(Arc::clone(&service), Held { writing, ..fresh });
+            let write_in_progress = tracked.write_in_progress;
+            let fresh = self.track(joined, now);
+            self.tracked.insert(
+                Arc::clone(&service),
+                Tracked {
+                    write_in_progress,
+                    ..fresh
+                },
+            );
         }
         self.publish(&service);
     }
 
-    /// Returns a move that is followed from now on.
-    fn hold(&self, record: Record, now: Duration) -> Held {
+    /// Returns the initial state of a tracked move.
+    fn track(&self, record: Record, now: Duration) -> Tracked {
         let stages = u32::try_from(record.plan.shares.len()).unwrap_or(u32::MAX);
         let mut evidence = Evidence::new(self.context.settings.moves.tolerance, stages);
         evidence.begin_stage(record.share() == FULL_SHARE);
-        Held {
+        Tracked {
             record,
             evidence,
-            since: now,
-            writing: false,
+            stage_started: now,
+            write_in_progress: false,
             write_after: Duration::ZERO,
-            rows: Rows::default(),
+            server_failures: ServerFailures::default(),
         }
     }
 
-    /// Publishes the record of a service.
+    /// Publishes the record of a service in the view, and announces it to peers unless it is still in
+    /// a stage.
     fn publish(&self, service: &Arc<str>) {
-        let Some(held) = self.held.get(service) else {
+        let Some(tracked) = self.tracked.get(service) else {
             return;
         };
-        let record = &held.record;
+        let record = &tracked.record;
         log::info!(service = service.as_ref(), id = record.id.as_ref(), phase = format!("{:?}", record.phase).as_str(); "move");
         self.view.send_modify(|view| {
             Arc::make_mut(view).insert(Arc::clone(service), Arc::new(record.clone()));
         });
         if !matches!(record.phase, Phase::Stage(_)) {
-            self.spread(record);
+            self.announce(record);
         }
     }
 
-    /// Tells some peers of a record, who tell others in turn; the store reaches those left out.
-    fn spread(&self, record: &Record) {
+    /// Announces a record to some peers, which announce it to others in turn. Entries that are not
+    /// reached this way read it from the store.
+    fn announce(&self, record: &Record) {
         let membership = Arc::clone(&self.context.membership.view().borrow());
         let members: Vec<&Member> = membership.up().collect();
-        let chosen = members.choose_multiple(&mut rand::rng(), FANOUT);
+        let chosen = members.choose_multiple(&mut rand::rng(), ANNOUNCE_FANOUT);
         for address in chosen.map(|member| member.address) {
             let context = Arc::clone(&self.context);
             let record = record.clone();
             tokio::spawn(async move {
-                let told = context
-                    .peers
-                    .call(address, CALL_TIMEOUT, |peer, call| async move {
-                        peer.moved(call, record).await
-                    });
-                if let Err(error) = told.await {
-                    log::debug!(error = error.to_string().as_str(); "a peer was not told of a move");
+                let announced =
+                    context
+                        .peers
+                        .call(address, CALL_TIMEOUT, |peer, call| async move {
+                            peer.moved(call, record).await
+                        });
+                if let Err(error) = announced.await {
+                    log::debug!(error = error.to_string().as_str(); "announcing a move to a peer failed");
                 }
             });
         }
     }
 
-    /// Takes what an attempt showed, and brakes at once if that is enough.
+    /// Adds a sample to the evidence, and brakes immediately if the evidence rejects the new version.
     fn observe(&mut self, sample: &Sample) {
         let now = self.context.clock.now();
-        let alone = self.alone(sample);
-        let Some(held) = self.held.get_mut(&sample.service) else {
+        let sole_server = self.is_sole_server(sample);
+        let Some(tracked) = self.tracked.get_mut(&sample.service) else {
             return;
         };
-        let current =
-            held.record.number == sample.number && matches!(held.record.phase, Phase::Stage(_));
-        if !current || held.rows.dead(sample, alone, now) {
+        let current = tracked.record.number == sample.number
+            && matches!(tracked.record.phase, Phase::Stage(_));
+        if !current || tracked.server_failures.explains(sample, sole_server, now) {
             return;
         }
-        held.evidence.observe(&sample.observation);
+        tracked.evidence.observe(&sample.observation);
         if sample.observation.cohort == Cohort::Canary
-            && let Some(reason) = held.evidence.rejection()
+            && let Some(reason) = tracked.evidence.rejection()
         {
             self.brake(&sample.service, &reason);
         }
     }
 
-    /// Returns whether no more than one backend server serves the version that a sample is of.
-    fn alone(&self, sample: &Sample) -> bool {
-        let Some(held) = self.held.get(&sample.service) else {
+    /// Returns whether at most one backend server serves the version of a sample.
+    fn is_sole_server(&self, sample: &Sample) -> bool {
+        let Some(tracked) = self.tracked.get(&sample.service) else {
             return true;
         };
         let version = match sample.observation.cohort {
-            Cohort::Baseline => &held.record.from,
-            Cohort::Canary => &held.record.to,
+            Cohort::Baseline => &tracked.record.from,
+            Cohort::Canary => &tracked.record.to,
         };
         let directory = Arc::clone(&self.context.directory.borrow());
         let servers = directory.servers(&sample.service).iter();
@@ -245,134 +257,139 @@
         serving.nth(1).is_none()
     }
 
-    /// Stops sending requests to the new version at this entry, and has that recorded.
+    /// Stops sending requests to the new version at this entry, and starts to store the brake.
     fn brake(&mut self, service: &Arc<str>, reason: &str) {
-        let Some(held) = self.held.get(service) else {
+        let Some(tracked) = self.tracked.get(service) else {
             return;
         };
-        let braked = held.record.clone().brake(reason);
-        self.learn(braked);
-        self.look_at(service);
+        let braked = tracked.record.clone().brake(reason);
+        self.merge(braked);
+        self.evaluate(service);
     }
 
-    /// Looks at every move.
-    fn look_at_all(&mut self) {
-        let services: Vec<Arc<str>> = self.held.keys().cloned().collect();
+    /// Evaluates every move.
+    fn evaluate_all(&mut self) {
+        let services: Vec<Arc<str>> = self.tracked.keys().cloned().collect();
         for service in services {
-            self.look_at(&service);
+            self.evaluate(&service);
         }
     }
 
-    /// Decides what a move does next.
-    fn look_at(&mut self, service: &Arc<str>) {
-        let Some(held) = self.held.get(service) else {
+    /// Takes the next step of a move, if one is due.
+    fn evaluate(&mut self, service: &Arc<str>) {
+        let Some(tracked) = self.tracked.get(service) else {
             return;
         };
         let declarations = Arc::clone(&self.context.declarations.borrow());
         let declaration = declarations.service(service).cloned();
-        match held.record.phase {
+        match tracked.record.phase {
             Phase::Stage(_) => {
-                let other = declaration.filter(|service| !is_pending(&held.record, service));
+                let other = declaration.filter(|service| !is_pending(&tracked.record, service));
                 if let Some(other) = other {
                     let reason = format!("version `{}` was declared meanwhile", other.version);
                     return self.brake(service, &reason);
                 }
-                self.judge(service);
+                self.evaluate_stage(service);
             }
-            Phase::Braked { .. } if held.due(self.context.clock.now()) => {
-                let record = held.record.clone();
-                self.spread(&record);
+            Phase::Braked { .. } if tracked.may_write(self.context.clock.now()) => {
+                let record = tracked.record.clone();
+                self.announce(&record);
                 self.write(record);
             }
             Phase::Done
-                if declaration.is_some_and(|service| is_pending(&held.record, &service)) =>
+                if declaration.is_some_and(|service| is_pending(&tracked.record, &service)) =>
             {
-                let record = held.record.clone();
+                let record = tracked.record.clone();
                 self.declare(record);
             }
             Phase::Braked { .. } | Phase::Done | Phase::TakenBack { .. } => {}
         }
     }
 
-    /// Judges a move at a stage.
-    fn judge(&mut self, service: &Arc<str>) {
-        let Some(held) = self.held.get(service) else {
+    /// Advances, brakes or keeps a move that is in a stage.
+    fn evaluate_stage(&mut self, service: &Arc<str>) {
+        let Some(tracked) = self.tracked.get(service) else {
             return;
         };
-        let Phase::Stage(stage) = held.record.phase else {
+        let Phase::Stage(stage) = tracked.record.phase else {
             return;
         };
-        let left = held.record.deadline_ms.saturating_sub(unix_ms());
-        let decision = held.record.plan.decide(Progress {
+        let remaining_ms = tracked.record.deadline_ms.saturating_sub(unix_ms());
+        let decision = tracked.record.plan.decide(Progress {
             stage,
-            in_stage: self.context.clock.now().saturating_sub(held.since),
-            remaining: Duration::from_millis(left),
-            requests: held.evidence.requests(),
-            suspect: held.evidence.suspect(),
+            in_stage: self
+                .context
+                .clock
+                .now()
+                .saturating_sub(tracked.stage_started),
+            remaining: Duration::from_millis(remaining_ms),
+            requests: tracked.evidence.requests(),
+            suspect: tracked.evidence.suspect(),
         });
         match decision {
             Decision::Stay => {}
             Decision::Revert => self.brake(service, "it could not be proved good by its deadline"),
             Decision::Advance => {
-                let record = held.record.clone().advance();
+                let record = tracked.record.clone().advance();
                 self.write(record);
             }
         }
     }
 
-    /// Writes a record unless a write is under way, and tells the driver what then stands.
+    /// Writes a record to the store unless a write is in progress, and sends the driver the record
+    /// that is then stored.
     fn write(&mut self, record: Record) {
         self.in_background(record, |context, record| async move {
             match store::write(&context.platform, &record).await {
-                Ok(stands) => Some(stands),
+                Ok(stored) => Some(stored),
                 Err(error) => {
-                    log::warn!(service = record.service.as_ref(), error = error.to_string().as_str(); "a move cannot be recorded yet");
+                    log::warn!(service = record.service.as_ref(), error = error.to_string().as_str(); "move could not be written to the store; retrying");
                     None
                 }
             }
         });
     }
 
-    /// Declares the version of a move that is done, unless a write is under way.
+    /// Declares the version of a completed move, unless a write is in progress.
     fn declare(&mut self, record: Record) {
         self.in_background(record, |context, record| async move {
             let declared = store::declare(&context.platform, &record).await;
             if let Err(error) = declared {
-                log::warn!(service = record.service.as_ref(), error = error.to_string().as_str(); "the version of a move cannot be declared yet");
+                log::warn!(service = record.service.as_ref(), error = error.to_string().as_str(); "version of a completed move could not be declared; retrying");
             }
             None
         });
     }
 
-    /// Runs a write of a service's record, one at a time.
+    /// Runs a write of a service's record in a task of its own, one at a time per service.
     fn in_background<F>(&mut self, record: Record, write: impl FnOnce(Arc<Context>, Record) -> F)
     where
         F: Future<Output = Option<Record>> + Send + 'static,
     {
         let now = self.context.clock.now();
         let service = Arc::clone(&record.service);
-        let held = self.held.get_mut(&service);
-        let Some(held) = held.filter(|held| held.due(now)) else {
+        let tracked = self.tracked.get_mut(&service);
+        let Some(tracked) = tracked.filter(|tracked| tracked.may_write(now)) else {
             return;
         };
-        held.writing = true;
+        tracked.write_in_progress = true;
         let stop = self.context.stop.clone();
         let messages = self.messages.clone();
-        let writing = write(Arc::clone(&self.context), record);
+        let write = write(Arc::clone(&self.context), record);
         tokio::spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
-                stands = writing => {
-                    let _ = messages.send(Message::Written(service, stands)).await;
+                stored = write => {
+                    let _ = messages.send(Message::Written(service, stored)).await;
                 }
             }
         });
     }
 }
 
-impl Held {
-    /// Returns whether a write may start.
-    fn due(&self, now: Duration) -> bool {
-        !self.writing && self.write_after <= now
+impl Tracked {
+    /// Returns whether a write may start now.
+    fn may_write(&self, now: Duration) -> bool {
+        !self.write_in_progress && self.write_after <= now
     }
 }
--- a/serving/src/modules/moves/server_failures.rs
+++ b/serving/src/modules/moves/server_failures.rs
@@ -1,4 +1,4 @@
-//! Which failures tell of a version, and which of one backend server that has died.
+//! Distinguishes failures of a version from failures of one backend server that has crashed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,30 +8,31 @@
 
 use super::Sample;
 
-/// Failures in a row of one backend server that count unless others of its version fail as well.
+/// Consecutive failures of one backend server that count as evidence against its version. Further
+/// ones count only if other servers of the version fail as well.
 ///
-/// A backend server that has died is no evidence against the version that it served.
-const FAILURES_IN_A_ROW: u32 = 2;
+/// A backend server that has crashed is no evidence against the version that it served.
+const CRASH_FAILURES: u32 = 2;
 
-/// How one backend server has answered lately.
+/// Recent outcomes of the attempts at one backend server.
 #[derive(Clone, Copy, Debug)]
-struct Row {
-    side: Cohort,
-    /// Failures in a row.
+struct Streak {
+    cohort: Cohort,
+    /// Consecutive failures.
     failures: u32,
-    /// Time of the first of them.
+    /// Time of the first of the consecutive failures.
     since: Duration,
     /// Time of the last failure.
     failed: Option<Duration>,
-    /// Time of the last good answer.
+    /// Time of the last success.
     answered: Option<Duration>,
 }
 
-impl Row {
-    /// Returns the row of a server of which nothing is known.
-    fn new(side: Cohort) -> Self {
+impl Streak {
+    /// Returns the state of a server without a recorded attempt.
+    fn new(cohort: Cohort) -> Self {
         Self {
-            side,
+            cohort,
             failures: 0,
             since: Duration::ZERO,
             failed: None,
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Notes how an attempt ended.
-    fn note(&mut self, failed: Option<bool>, now: Duration) {
+    /// Records how an attempt ended; an attempt still in progress changes nothing.
+    fn record(&mut self, failed: Option<bool>, now: Duration) {
         match failed {
             Some(true) if self.failures == 0 => {
                 (self.failures, self.since, self.failed) = (1, now, Some(now));
@@ -54,32 +55,36 @@
     }
 }
 
-/// How the backend servers of a moving service have answered lately.
+/// Recent outcomes of the attempts at the backend servers of a service that is being moved.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rows(BTreeMap<Arc<str>, Row>);
+pub(super) struct ServerFailures(BTreeMap<Arc<str>, Streak>);
 
-impl Rows {
-    /// Returns whether a sample tells no more than that one backend server has died: it is cut off
-    /// again and again, and no other one of its version has failed meanwhile without an answer.
+impl ServerFailures {
+    /// Records a sample and returns whether the crash of its backend server alone explains it, so that
+    /// it is no evidence: the server's attempts are interrupted repeatedly, and since the first of
+    /// these failures another server of the version has succeeded, or none has failed.
     ///
-    /// `alone` says that it is the only one of its version.
-    pub(super) fn dead(&mut self, sample: &Sample, alone: bool, now: Duration) -> bool {
-        let side = sample.observation.cohort;
+    /// `sole_server` says that the server is the only one of its version; its failures always count.
+    pub(super) fn explains(&mut self, sample: &Sample, sole_server: bool, now: Duration) -> bool {
+        let cohort = sample.observation.cohort;
         let server = &sample.server;
-        let row = self.0.entry(Arc::clone(server)).or_insert(Row::new(side));
-        row.note(sample.observation.failed, now);
-        if row.failures <= FAILURES_IN_A_ROW || alone || !sample.cut {
+        let streak = self
+            .0
+            .entry(Arc::clone(server))
+            .or_insert(Streak::new(cohort));
+        streak.record(sample.observation.failed, now);
+        if streak.failures <= CRASH_FAILURES || sole_server || !sample.interrupted {
             return false;
         }
-        let since = row.since;
+        let since = streak.since;
         let others = self.0.iter().filter(|(name, _)| *name != server);
-        let mut fails = false;
-        for (_, other) in others.filter(|(_, row)| row.side == side) {
+        let mut others_fail = false;
+        for (_, other) in others.filter(|(_, streak)| streak.cohort == cohort) {
             if other.answered > Some(since) {
                 return true;
             }
-            fails |= other.failed > Some(since);
+            others_fail |= other.failed > Some(since);
         }
-        !fails
+        !others_fail
     }
 }
--- a/serving/src/modules/moves/store.rs
+++ b/serving/src/modules/moves/store.rs
@@ -1,4 +1,4 @@
-//! Reading and writing moves in the platform's store.
+//! Reads and writes moves in the platform's store.
 
 use medlarfall_coordination::rollout::{Phase, Record};
 use medlarfall_schema::declaration::Service;
@@ -9,13 +9,13 @@
 use crate::modules::operators::apply;
 use crate::platform::{Error as StoreError, Item, Store};
 
-/// How often a write is tried against others and settled by reading back.
+/// Attempts at a write whose expected revision was outdated or whose answer was lost.
 const ATTEMPTS: usize = 5;
 
 /// Why a move was not stored.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// Another move of the service is under way.
+    /// Another move of the service is in progress.
     #[snafu(display(
         "service `{service}` is being moved to `{version}` by move {id}: watch it or cancel it first"
     ))]
@@ -27,7 +27,7 @@
         /// Identifier of the move.
         id: String,
     },
-    /// There is no such move.
+    /// The service has no move with this identifier.
     #[snafu(display(
         "service `{service}` has no move {id}: watch the service to see its last move"
     ))]
@@ -37,10 +37,10 @@
         /// Identifier of the move.
         id: String,
     },
-    /// The store did not take the write, or it could not be settled whether it did.
+    /// The store refused the write, or it is not known whether it was stored.
     #[snafu(display("it could not be settled what the store holds: {reason}; send it again"))]
     Unsettled {
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
 }
@@ -53,16 +53,18 @@
     }
 }
 
-/// Returns the record in an item.
+/// Parses the record in an item.
 fn parse(item: &Item) -> Result<Record, Error> {
     serde_json::from_str(&item.value).map_err(|error| Error::Unsettled {
         reason: format!("a stored move cannot be read: {error}"),
     })
 }
 
-/// Changes the record of a service by compare-and-swap until it stands or is not to be changed.
+/// Changes the record of a service by compare-and-swap and returns the record that is then stored.
 ///
-/// A lost answer is settled by reading back: `change` sees its own write and leaves it.
+/// `change` returns the new record, or as its inner error the stored one that is to stay. After a
+/// lost answer the record is read again: if the write took effect, `change` gets its own result and
+/// must keep it.
 async fn swap<S: Store>(
     store: &S,
     service: &str,
@@ -74,7 +76,7 @@
         let held = item.as_ref().map(parse).transpose()?;
         let next = match change(held)? {
             Ok(next) => next,
-            Err(stays) => return Ok(stays),
+            Err(kept) => return Ok(kept),
         };
         let value = serde_json::to_string(&next).map_err(|error| Error::Unsettled {
             reason: error.to_string(),
@@ -91,21 +93,23 @@
     })
 }
 
-/// Returns the last move of a service.
+/// Reads the latest move of a service.
 ///
 /// # Errors
 ///
-/// Returns that the store did not answer.
+/// Returns an error if the store does not answer or the record cannot be parsed.
 pub async fn read<S: Store>(store: &S, service: &str) -> Result<Option<Record>, Error> {
     let item = store.get(&format!("{PREFIX}{service}")).await?;
     item.as_ref().map(parse).transpose()
 }
 
-/// Stores a new move unless one is under way; the same move again is no change.
+/// Stores a new move unless another is in progress. Starting the same move again returns the stored
+/// record.
 ///
 /// # Errors
 ///
-/// Returns that another move is under way, or that the write could not be settled.
+/// Returns an error if another move is in progress, or if it is not known whether the move was
+/// stored.
 pub async fn start<S: Store>(store: &S, record: &Record) -> Result<Record, Error> {
     swap(store, &record.service, |held| match held {
         Some(held) if held.id == record.id => Ok(Err(held)),
@@ -122,11 +126,12 @@
     .await
 }
 
-/// Stores a later phase of a move and returns the record that stands; an end is never changed.
+/// Stores a later phase of a move and returns the record that is then stored. The record of an ended
+/// move is never changed.
 ///
 /// # Errors
 ///
-/// Returns that the service has no move, or that the write could not be settled.
+/// Returns an error if the service has no move, or if it is not known whether the phase was stored.
 pub async fn write<S: Store>(store: &S, record: &Record) -> Result<Record, Error> {
     swap(store, &record.service, |held| {
         let held = held.ok_or_else(|| absent(&record.service, &record.id))?;
@@ -135,11 +140,12 @@
     .await
 }
 
-/// Takes the move with an identifier back, unless its end is recorded, and returns the record.
+/// Takes the move with an identifier back unless it has ended, and returns the stored record.
 ///
 /// # Errors
 ///
-/// Returns that the service has no such move, or that the write could not be settled.
+/// Returns an error if the service has no such move, or if it is not known whether the cancellation
+/// was stored.
 pub async fn cancel<S: Store>(store: &S, service: &str, id: &str) -> Result<Record, Error> {
     swap(store, service, |held| {
         let held = held.filter(|held| *held.id == *id);
@@ -150,7 +156,7 @@
     .await
 }
 
-/// Reason of a move that an operator took back.
+/// Stored reason of a move that an operator cancelled.
 pub const CANCELLED: &str = "an operator cancelled it";
 
 /// Returns the error of a move that does not exist.
@@ -161,14 +167,14 @@
     }
 }
 
-/// Declares the version of a move that is done, once.
+/// Declares the version of a completed move, once.
 ///
-/// The declaration names the last move whose version it holds, so that a step that is repeated
-/// after a crash, or by another entry, never undoes a later declaration.
+/// The declaration holds the number of the latest move that set its version, so that repeating this
+/// step after a crash, or at another entry, never overwrites a later declaration.
 ///
 /// # Errors
 ///
-/// Returns that the declaration could not be read or written; the step is to be repeated.
+/// Returns an error if the declaration could not be read or written; the caller must retry.
 pub async fn declare<S: Store>(store: &S, record: &Record) -> Result<(), Error> {
     let key = format!("{}{}", declarations::PREFIX, record.service);
     let Some(item) = store.get(&key).await? else {
@@ -178,9 +184,9 @@
         serde_json::from_str(&item.value).map_err(|error| Error::Unsettled {
             reason: format!("a stored declaration cannot be read: {error}"),
         })?;
-    let due =
+    let undeclared =
         record.phase == Phase::Done && !service.deleted && super::is_pending(record, &service);
-    if !due {
+    if !undeclared {
         return Ok(());
     }
     service.version = record.to.to_string();
--- a/serving/src/modules/stops.rs
+++ b/serving/src/modules/stops.rs
@@ -1,5 +1,5 @@
-//! Planned stops in force at this entry: which servers get no new work, what still holds them, and
-//! whether this entry itself is leaving.
+//! Planned stops in force at this entry: which backend servers receive no new work, which requests
+//! they still wait for, and whether this entry itself is leaving.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,36 +26,36 @@
 /// Prefix of the keys that hold planned stops.
 pub const PREFIX: &str = "stops/";
 
-/// Time in which the last bytes of answers reach the callers before an entry that leaves ends.
+/// Time that a leaving entry allows for the last bytes of its responses to reach the callers.
 const FLUSH_GRACE: Duration = Duration::from_millis(200);
 
-/// A planned stop that this entry knows of.
+/// A planned stop as this entry recorded it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Planned {
     /// The stop as stored.
     pub stop: Stop,
-    /// When this entry came to know of it, by the entry's clock.
-    pub known: Duration,
+    /// When this entry recorded it, by the entry's clock.
+    pub recorded_at: Duration,
     /// Its date, by the entry's clock.
     pub date: Duration,
-    /// Whether this entry accepted it from an operator.
-    pub here: bool,
+    /// Whether an operator planned it at this entry, not at a peer.
+    pub accepted_here: bool,
 }
 
-/// The planned stops that this entry knows of, cancelled ones included.
+/// The recorded planned stops, including cancelled ones.
 #[derive(Clone, Debug, Default)]
 pub struct Declared {
     stops: BTreeMap<Target, Planned>,
 }
 
 impl Declared {
-    /// Returns the stop of a target, even if it was cancelled.
+    /// Returns the stop of a target, including a cancelled one.
     #[must_use]
     pub fn find(&self, target: &Target) -> Option<&Planned> {
         self.stops.get(target)
     }
 
-    /// Returns all stops, cancelled ones included.
+    /// Returns all stops, including cancelled ones.
     pub fn iter(&self) -> impl Iterator<Item = (&Target, &Planned)> {
         self.stops.iter()
     }
@@ -63,26 +63,26 @@
     /// Returns the earliest stop in force that covers a backend server.
     #[must_use]
     pub fn of_server(&self, server: &Server) -> Option<&Planned> {
-        self.earliest(|target| target.covers_server(&server.name, &server.failure_domain))
+        self.earliest_covering(|target| target.covers_server(&server.name, &server.failure_domain))
     }
 
     /// Returns the earliest stop in force that covers an entry.
     #[must_use]
     pub fn of_entry(&self, entry: &str, failure_domain: &str) -> Option<&Planned> {
-        self.earliest(|target| target.covers_entry(entry, failure_domain))
+        self.earliest_covering(|target| target.covers_entry(entry, failure_domain))
     }
 
-    /// Returns a cancelled stop that covers a backend server, the newest known.
+    /// Returns the cancelled stop that covers a backend server and was recorded last.
     fn cancelled(&self, server: &Server) -> Option<&Planned> {
         self.stops
             .iter()
             .filter(|(target, _)| target.covers_server(&server.name, &server.failure_domain))
             .map(|(_, planned)| planned)
             .filter(|planned| planned.stop.cancelled)
-            .max_by_key(|planned| planned.known)
+            .max_by_key(|planned| planned.recorded_at)
     }
 
-    fn earliest(&self, covers: impl Fn(&Target) -> bool) -> Option<&Planned> {
+    fn earliest_covering(&self, covers: impl Fn(&Target) -> bool) -> Option<&Planned> {
         self.stops
             .iter()
             .filter(|(target, planned)| !planned.stop.cancelled && covers(target))
@@ -90,49 +90,54 @@
             .min_by_key(|planned| planned.date)
     }
 
-    /// Takes a stop unless the same or a newer revision of it is in force; returns whether it did.
-    fn take(&mut self, stop: Stop, here: bool, clock: Clock) -> bool {
+    /// Records a stop unless the same or a newer revision of it is recorded; returns whether anything
+    /// changed.
+    fn record(&mut self, stop: Stop, accepted_here: bool, clock: Clock) -> bool {
         let target: Target = match stop.target.parse() {
             Ok(target) => target,
             Err(error) => {
-                log::error!(error:% = error; "a stored stop cannot be read");
+                log::error!(error:% = error; "planned stop has an invalid target; ignoring it");
                 return false;
             }
         };
         match self.stops.get_mut(&target) {
-            Some(held) if stop.revision == held.stop.revision && here && !held.here => {
-                held.here = true;
+            Some(current)
+                if stop.revision == current.stop.revision
+                    && accepted_here
+                    && !current.accepted_here =>
+            {
+                current.accepted_here = true;
                 return true;
             }
-            Some(held) if stop.revision <= held.stop.revision => return false,
+            Some(current) if stop.revision <= current.stop.revision => return false,
             Some(_) | None => {}
         }
-        let known = clock.now();
+        let recorded_at = clock.now();
         let notice = stop.date_ms.saturating_sub(unix_milliseconds());
         let planned = Planned {
             stop,
-            known,
-            date: known + Duration::from_millis(notice),
-            here,
+            recorded_at,
+            date: recorded_at + Duration::from_millis(notice),
+            accepted_here,
         };
         self.stops.insert(target, planned);
         true
     }
 }
 
-/// That this entry is leaving.
+/// The state of an entry that is leaving.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Leave {
-    /// When the callers of requests still in progress are sent elsewhere, by the entry's clock.
+    /// When the callers of requests still in progress are sent to other entries, by the entry's clock.
     pub until: Duration,
 }
 
-/// Planned stops, and what holds the servers.
+/// Planned stops, and the requests in progress that they wait for.
 #[derive(Debug)]
 pub struct Stops {
     declared: watch::Sender<Arc<Declared>>,
     own: watch::Sender<Option<Leave>>,
-    /// Requests of this entry in progress, by backend server.
+    /// Requests of this entry in progress, and attempts by backend server.
     pub in_flight: InFlight,
 }
 
@@ -143,7 +148,7 @@
 }
 
 impl Stops {
-    /// Returns the stops of an entry that knows of none.
+    /// Returns an empty set of stops.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -153,13 +158,13 @@
         }
     }
 
-    /// Returns the planned stops that this entry knows of, and tells of changes.
+    /// Returns a receiver of the recorded planned stops and their changes.
     #[must_use]
     pub fn declared(&self) -> watch::Receiver<Arc<Declared>> {
         self.declared.subscribe()
     }
 
-    /// Returns whether this entry is leaving, and tells of changes.
+    /// Returns a receiver of whether this entry is leaving, and of changes.
     #[must_use]
     pub fn own_leave(&self) -> watch::Receiver<Option<Leave>> {
         self.own.subscribe()
@@ -171,17 +176,17 @@
         self.own.borrow().is_some()
     }
 
-    /// Takes a stop that this entry accepted from an operator.
+    /// Records a stop that this entry accepted from an operator.
     pub fn accept(&self, stop: Stop, clock: Clock) {
-        self.take_all([stop], true, clock);
+        self.record_all([stop], true, clock);
     }
 
-    /// Takes stops that the store or a peer told of; returns whether any was new.
+    /// Records stops received from the store or a peer; returns whether any of them was new.
     pub fn record(&self, stops: impl IntoIterator<Item = Stop>, clock: Clock) -> bool {
-        self.take_all(stops, false, clock)
+        self.record_all(stops, false, clock)
     }
 
-    /// Returns the planned stops that this entry knows of as they are stored.
+    /// Returns the recorded planned stops in their stored form.
     #[must_use]
     pub fn stored(&self) -> Vec<Stop> {
         let declared = Arc::clone(&self.declared.borrow());
@@ -191,12 +196,17 @@
             .collect()
     }
 
-    fn take_all(&self, stops: impl IntoIterator<Item = Stop>, here: bool, clock: Clock) -> bool {
+    fn record_all(
+        &self,
+        stops: impl IntoIterator<Item = Stop>,
+        accepted_here: bool,
+        clock: Clock,
+    ) -> bool {
         self.declared.send_if_modified(|declared| {
             let mut next = Declared::clone(declared);
             let new = stops
                 .into_iter()
-                .filter(|stop| next.take(stop.clone(), here, clock));
+                .filter(|stop| next.record(stop.clone(), accepted_here, clock));
             let changed = new.count() > 0;
             if changed {
                 *declared = Arc::new(next);
@@ -206,7 +216,8 @@
     }
 }
 
-/// Returns the directory with each backend server marked as leaving for which a stop is planned.
+/// Returns a receiver of the directory in which the backend servers with a planned stop are marked as
+/// leaving.
 #[must_use]
 pub fn mark_leaving(
     mut listed: watch::Receiver<Arc<Directory>>,
@@ -238,54 +249,55 @@
     receiver
 }
 
-/// Returns the directory with the leaving backend servers marked.
+/// Returns the directory with the backend servers that have a planned stop marked as leaving.
 fn marked(servers: Arc<Directory>, stops: &Declared) -> Arc<Directory> {
-    let stays = |server: &Server| server.leaving || stops.of_server(server).is_none();
-    if servers.iter().all(|server| stays(server)) {
+    let unchanged = |server: &Server| server.leaving || stops.of_server(server).is_none();
+    if servers.iter().all(|server| unchanged(server)) {
         return servers;
     }
     let marked = servers.iter().map(|server| Server {
-        leaving: !stays(server) || server.leaving,
+        leaving: !unchanged(server) || server.leaving,
         ..server.as_ref().clone()
     });
     Arc::new(marked.collect())
 }
 
-/// Starts the tasks that follow the planned stops.
+/// Starts the task that watches planned stops, exchanges them with peers and drains engines.
 pub fn start(context: &Arc<Context>) {
     let stop = context.stop.clone();
     let context = Arc::clone(context);
     tokio::spawn(async move {
         tokio::select! {
             () = stop.cancelled() => {}
-            () = follow::store(&context) => {}
-            () = follow::own(&context) => {}
+            () = follow::watch_store(&context) => {}
+            () = follow::watch_own_stop(&context) => {}
             () = drain::run(&context) => {}
             () = peer_exchange::run(&context) => {}
         }
     });
 }
 
-/// Leaves: takes no new requests and waits until those in progress have ended, at most for the
-/// entry's window; then their callers are sent elsewhere. Returns whether all ended before that.
+/// Stops taking new requests and waits until those in progress have ended, for the entry's window at
+/// most; the callers of the remaining ones are then sent to other entries. Returns whether all ended
+/// within the window.
 pub async fn leave(context: &Context) -> bool {
     let until = context.clock.now() + context.settings.stops.entry_window;
     context.stops.own.send_replace(Some(Leave { until }));
-    log::info!("leaving: no new requests are taken");
+    log::info!("leaving: refusing new requests, waiting for those in progress");
     let ended = context.stops.in_flight.wait_idle();
-    let whole = tokio::time::timeout_at(context.clock.instant(until), ended)
+    let drained = tokio::time::timeout_at(context.clock.instant(until), ended)
         .await
         .is_ok();
-    if !whole {
-        // The callers have been told; what is left is to let them read it.
-        let told = context.stops.in_flight.wait_idle();
-        let _ = tokio::time::timeout(FLUSH_GRACE, told).await;
+    if !drained {
+        // The remaining callers have been sent to other entries; let their last responses be flushed.
+        let flushed = context.stops.in_flight.wait_idle();
+        let _ = tokio::time::timeout(FLUSH_GRACE, flushed).await;
     }
     tokio::time::sleep(FLUSH_GRACE).await;
-    whole
+    drained
 }
 
-/// Waits until this entry leaves and its window for requests in progress is over.
+/// Waits until this entry is leaving and its window for requests in progress has ended.
 pub async fn window_over(context: &Context) {
     let mut own = context.stops.own_leave();
     loop {
@@ -305,7 +317,7 @@
     }
 }
 
-/// Returns the milliseconds since the Unix epoch.
+/// Returns the current Unix time in milliseconds.
 #[must_use]
 pub fn unix_milliseconds() -> u64 {
     let since = SystemTime::now()
--- a/serving/src/modules/stops/drain.rs
+++ b/serving/src/modules/stops/drain.rs
@@ -1,9 +1,9 @@
-//! Telling leaving engines themselves that they get no new work, and those that stay after all that
-//! they do.
+//! Orders to engines: to drain if a stop is planned for them, and to take work again if it was
+//! cancelled.
 //!
-//! The entry that accepted a stop does so at once. The entries of the server's failure domain look a
-//! little later whether it was done, so that it is done even if that entry is lost, and look again
-//! now and then until the stop is over.
+//! The entry that accepted a stop gives the order immediately. The entries of the engine's failure
+//! domain check the engine after a random delay and give the order if it is missing, so that it is
+//! given even if the first entry has crashed. They repeat this check until the stop has ended.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,51 +13,53 @@
 use crate::context::Context;
 use crate::modules::orders::{self, Desired};
 
-/// Pause between two looks at a server that did what it was told.
-const LOOK_AGAIN: Duration = Duration::from_secs(10);
+/// Shortest pause between two checks of an engine that obeyed the order.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What is known of a server.
+/// When a server is checked next.
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct ServerState {
     /// Revision of the stop.
     revision: u64,
-    /// When to look at it.
-    next_look: Duration,
+    /// Time of the next check, by the entry's clock.
+    next_check: Duration,
 }
 
-/// What is to be told to a server.
+/// The order that a server is to be given.
 #[derive(Clone, Copy, Debug)]
-struct Wanted {
+struct DrainOrder {
+    /// Revision of the stop.
     revision: u64,
     drain: bool,
-    here: bool,
+    /// Whether an operator planned the stop at this entry.
+    accepted_here: bool,
 }
 
-/// Keeps the servers told, for ever.
+/// Gives the orders that are due; never returns.
 pub(super) async fn run(context: &Context) {
-    let mut known: BTreeMap<Arc<str>, Known> = BTreeMap::new();
+    let mut known: BTreeMap<Arc<str>, ServerState> = BTreeMap::new();
     let mut declared = context.stops.declared();
     loop {
         declared.mark_unchanged();
         let due = due(context, &mut known);
-        let told = due.into_iter().map(async |(server, wanted)| {
-            let done = tell(context, &server, wanted.drain).await;
+        let orders = due.into_iter().map(async |(server, wanted)| {
+            let done = ensure_drain(context, &server, wanted.drain).await;
             (server, wanted, done)
         });
-        for (server, wanted, done) in futures::future::join_all(told).await {
+        for (server, wanted, done) in futures::future::join_all(orders).await {
             let pause = match done {
-                true if wanted.drain => Some(LOOK_AGAIN + jitter(LOOK_AGAIN)),
+                true if wanted.drain => Some(MIN_CHECK_INTERVAL + jitter(MIN_CHECK_INTERVAL)),
                 true => None,
                 false => Some(jitter(context.settings.stops.drain_interval)),
             };
             let now = context.clock.now();
-            let next_look = pause.map_or(Duration::MAX, |pause| now + pause);
+            let next_check = pause.map_or(Duration::MAX, |pause| now + pause);
             let revision = wanted.revision;
             known.insert(
                 Arc::clone(&server.name),
-                Known {
+                ServerState {
                     revision,
-                    next_look,
+                    next_check,
                 },
             );
         }
@@ -69,8 +71,11 @@
     }
 }
 
-/// Returns the servers that are to be looked at now.
-fn due(context: &Context, known: &mut BTreeMap<Arc<str>, Known>) -> Vec<(Arc<Server>, Wanted)> {
+/// Returns the servers to check now, each with its order.
+fn due(
+    context: &Context,
+    known: &mut BTreeMap<Arc<str>, ServerState>,
+) -> Vec<(Arc<Server>, DrainOrder)> {
     let now = context.clock.now();
     let directory = Arc::clone(&context.directory.borrow());
     known.retain(|name, _| directory.find(name).is_some());
@@ -81,34 +86,34 @@
         };
         let seen = known.get(&server.name).copied();
         let seen = seen.filter(|seen| seen.revision == wanted.revision);
-        let next_look =
-            seen.map_or_else(|| first_look(context, wanted, now), |seen| seen.next_look);
-        if now >= next_look {
+        let next_check =
+            seen.map_or_else(|| first_check(context, wanted, now), |seen| seen.next_check);
+        if now >= next_check {
             due.push((Arc::clone(server), wanted));
             continue;
         }
         let revision = wanted.revision;
         known.insert(
             Arc::clone(&server.name),
-            Known {
+            ServerState {
                 revision,
-                next_look,
+                next_check,
             },
         );
     }
     due
 }
 
-/// Returns when a server of a stop that is new here is looked at.
-fn first_look(context: &Context, wanted: Wanted, now: Duration) -> Duration {
-    if wanted.here {
+/// Returns the time of the first check for a new revision of a stop.
+fn first_check(context: &Context, wanted: DrainOrder, now: Duration) -> Duration {
+    if wanted.accepted_here {
         return now;
     }
     now + jitter(context.settings.stops.drain_interval)
 }
 
-/// Returns what is to be told to a server, if it is for this entry to tell it.
-fn wanted(context: &Context, server: &Server) -> Option<Wanted> {
+/// Returns the order for a server, if this entry is responsible for giving it.
+fn wanted(context: &Context, server: &Server) -> Option<DrainOrder> {
     if server.role != Role::Engine {
         return None;
     }
@@ -116,16 +121,17 @@
     let planned = declared.of_server(server);
     let drain = planned.is_some();
     let planned = planned.or_else(|| declared.cancelled(server))?;
-    let near = server.failure_domain == context.settings.entry.failure_domain;
-    (near || planned.here).then_some(Wanted {
+    let same_domain = server.failure_domain == context.settings.entry.failure_domain;
+    (same_domain || planned.accepted_here).then_some(DrainOrder {
         revision: planned.stop.revision,
         drain,
-        here: planned.here,
+        accepted_here: planned.accepted_here,
     })
 }
 
-/// Tells a server whether to drain unless it does; returns whether it then does.
-async fn tell(context: &Context, server: &Server, drain: bool) -> bool {
+/// Orders a server to drain or to stop draining, unless it is in that state already; returns whether
+/// it is then in that state.
+async fn ensure_drain(context: &Context, server: &Server, drain: bool) -> bool {
     let timeout = context.settings.orders.policy.order_timeout;
     let read = context.backend.order_state(server);
     let state = tokio::time::timeout(timeout, read).await;
@@ -137,7 +143,7 @@
         ..Desired::default()
     };
     let enforced = context.enforces_fencing(server);
-    let given = orders::execute(
+    let outcome = orders::execute(
         &context.orders(),
         server,
         &desired,
@@ -145,13 +151,13 @@
         Duration::ZERO,
     )
     .await;
-    if let Err(error) = &given {
-        log::warn!(error:% = error; "a server could not be told whether to drain");
+    if let Err(error) = &outcome {
+        log::warn!(error:% = error; "order to drain or to resume work failed; retrying");
     }
-    given.is_ok()
+    outcome.is_ok()
 }
 
-/// Returns a random part of a duration.
+/// Returns a random duration from zero up to `duration`.
 fn jitter(duration: Duration) -> Duration {
     duration.mul_f64(rand::random::<f64>())
 }
--- a/serving/src/modules/stops/follow.rs
+++ b/serving/src/modules/stops/follow.rs
@@ -1,4 +1,4 @@
-//! Following the planned stops in the store, and what they mean for this entry itself.
+//! Watches the planned stops in the store, and applies those that cover this entry itself.
 
 use std::time::Duration;
 
@@ -11,20 +11,20 @@
 /// Pause after a failed call to the store.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
-/// Lists the planned stops, then follows their changes, for ever.
-pub(super) async fn store(context: &Context) {
+/// Lists the stored planned stops and watches their changes; starts again after each failed call.
+pub(super) async fn watch_store(context: &Context) {
     loop {
-        if let Err(error) = changes(context).await {
-            log::warn!(error:% = error; "planned stops cannot be read; those known stay in force");
+        if let Err(error) = list_and_watch(context).await {
+            log::warn!(error:% = error; "planned stops could not be read from the store; continuing with the known ones");
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
 }
 
-/// Lists the planned stops, then follows their changes until a call fails.
-async fn changes(context: &Context) -> Result<(), Error> {
+/// Lists the stored planned stops, then watches their changes until a call fails.
+async fn list_and_watch(context: &Context) -> Result<(), Error> {
     let listing = context.platform.list(PREFIX).await?;
-    take(context, listing.items.into_iter().map(|item| item.value));
+    record(context, listing.items.into_iter().map(|item| item.value));
     let mut revision = listing.revision;
     let timeout = context.settings.platform.watch_timeout;
     loop {
@@ -33,39 +33,39 @@
             .changes
             .into_iter()
             .filter_map(|change| change.value);
-        take(context, values);
+        record(context, values);
         revision = changes.revision;
     }
 }
 
-/// Takes stops as they stand in the store.
-fn take(context: &Context, values: impl Iterator<Item = String>) {
+/// Records stored stops; skips those that cannot be parsed.
+fn record(context: &Context, values: impl Iterator<Item = String>) {
     let stops = values.filter_map(|value| match serde_json::from_str::<Stop>(&value) {
         Ok(stop) => Some(stop),
         Err(error) => {
-            log::error!(error:% = error; "a stored stop cannot be read");
+            log::error!(error:% = error; "stored planned stop could not be parsed; ignoring it");
             None
         }
     });
     context.stops.record(stops, context.clock);
 }
 
-/// Leaves when a planned stop covers this entry, and stays when it is cancelled.
-pub(super) async fn own(context: &Context) {
+/// Marks this entry as leaving while a planned stop covers it, until that stop is cancelled.
+pub(super) async fn watch_own_stop(context: &Context) {
     let entry = &context.settings.entry;
     let policy = context.settings.stops.policy;
     let mut declared = context.stops.declared();
-    let mut before = None;
+    let mut last = None;
     loop {
-        let planned = declared
+        let leave = declared
             .borrow_and_update()
             .of_entry(&entry.name, &entry.failure_domain)
             .map(|planned| Leave {
                 until: policy.latest(planned.date),
             });
-        if planned != before {
-            context.stops.own.send_replace(planned);
-            before = planned;
+        if leave != last {
+            context.stops.own.send_replace(leave);
+            last = leave;
         }
         if declared.changed().await.is_err() {
             return;
--- a/serving/src/modules/stops/handover.rs
+++ b/serving/src/modules/stops/handover.rs
@@ -1,4 +1,5 @@
-//! Moving a generation off a leaving server: the next attempt runs before the present one ends.
+//! Moves a generation off a leaving server: the next attempt starts on another server before the
+//! current one is ended.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,40 +15,44 @@
 use crate::context::Context;
 use crate::modules::admission::{Permit, Requirements};
 
-/// Pause after a vain try to move a generation.
+/// Pause between two tries to move a generation.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 /// An attempt that runs on another server and has produced its first frame.
 #[derive(Debug)]
 pub struct Prepared {
-    /// Names the server that it runs on, and holds its memory.
+    /// Permit for the server that it runs on, with the reservation of its memory.
     pub permit: Permit,
     /// Number of the attempt, reserved in the journal and still to be adopted.
     pub attempt: Attempt,
-    /// First frame of the attempt.
+    /// First frame received from the attempt.
     pub first: Frame,
-    /// The frames after it.
+    /// The frames that follow.
     pub frames: Lines,
 }
 
-/// Watches over one attempt of a generation.
+/// Watches one attempt of a generation and prepares the next one when the attempt's server is leaving.
 #[derive(Debug)]
 pub struct Handover {
     context: Arc<Context>,
     server: Arc<Server>,
     request: Generate,
     need: Requirements,
-    patience: Duration,
+    admission_timeout: Duration,
     declared: watch::Receiver<Arc<Declared>>,
+    /// Index of the first token that the attempt produces.
     first_index: u64,
-    began: Option<(Duration, u64)>,
+    /// When the first token of the attempt was seen, and the next index then.
+    first_token: Option<(Duration, u64)>,
+    /// Number of attempts prepared so far.
     prepared: u64,
-    opening: Option<oneshot::Receiver<Option<Prepared>>>,
-    retry: Duration,
+    preparing: Option<oneshot::Receiver<Option<Prepared>>>,
+    /// Earliest time of the next try, by the entry's clock.
+    retry_at: Duration,
 }
 
 impl Handover {
-    /// Returns the watch over the attempt that `request` began on `server` and that produces the
+    /// Returns a handover for the attempt that `request` started on `server` and that produces the
     /// tokens from `first_index` on.
     #[must_use]
     pub fn new(
@@ -62,17 +67,17 @@
             context: Arc::clone(context),
             server: Arc::clone(server),
             request,
-            patience: need.deadline.saturating_sub(context.clock.now()),
+            admission_timeout: need.deadline.saturating_sub(context.clock.now()),
             need,
             first_index,
-            began: None,
+            first_token: None,
             prepared: 0,
-            opening: None,
-            retry: Duration::ZERO,
+            preparing: None,
+            retry_at: Duration::ZERO,
         }
     }
 
-    /// Waits until the generation runs on another server. Dropping the future loses nothing.
+    /// Waits until the next attempt runs on another server. Cancel-safe.
     pub async fn moved(&mut self, journal: &Journal) -> Box<Prepared> {
         loop {
             let wake = self.step(journal, self.context.clock.now());
@@ -82,49 +87,49 @@
         }
     }
 
-    /// Returns the highest number given to an attempt that was prepared.
+    /// Returns the number of the last prepared attempt, if there was any.
     #[must_use]
     pub fn last_prepared(&self, journal: &Journal) -> Option<Attempt> {
-        let others = self.prepared.checked_sub(1)?;
-        Some(journal.prepared_attempt(others))
+        let last = self.prepared.checked_sub(1)?;
+        Some(journal.prepared_attempt(last))
     }
 
-    /// Opens the next attempt if it is time; returns when to look again.
+    /// Starts the next attempt if it is due; returns when to check again.
     fn step(&mut self, journal: &Journal, now: Duration) -> Option<Duration> {
-        self.measure(journal, now);
-        let stand = self.stand(journal, now)?;
-        if self.opening.is_some() {
+        self.record_first_token(journal, now);
+        let snapshot = self.snapshot(journal, now)?;
+        if self.preparing.is_some() {
             return None;
         }
-        match self.context.settings.stops.policy.decide(&stand, now) {
+        match self.context.settings.stops.policy.decide(&snapshot, now) {
             Decision::Stay => None,
             Decision::MoveAt(moment) => Some(moment),
-            Decision::MoveNow if now < self.retry => Some(self.retry),
+            Decision::MoveNow if now < self.retry_at => Some(self.retry_at),
             Decision::MoveNow => {
-                self.retry = now + RETRY_PAUSE;
-                self.open(journal);
-                Some(self.retry)
+                self.retry_at = now + RETRY_PAUSE;
+                self.start_next_attempt(journal);
+                Some(self.retry_at)
             }
         }
     }
 
-    /// Notes when the first token of this attempt came.
-    fn measure(&mut self, journal: &Journal, now: Duration) {
-        if self.began.is_none() && journal.next_index() > self.first_index {
-            self.began = Some((now, journal.next_index()));
+    /// Records when the first token of this attempt was seen.
+    fn record_first_token(&mut self, journal: &Journal, now: Duration) {
+        if self.first_token.is_none() && journal.next_index() > self.first_index {
+            self.first_token = Some((now, journal.next_index()));
         }
     }
 
-    /// Returns how the generation stands towards the stop of its server, if there is one.
-    fn stand(&mut self, journal: &Journal, now: Duration) -> Option<Snapshot> {
+    /// Returns the progress of the generation and the stop of its server, if one is planned.
+    fn snapshot(&mut self, journal: &Journal, now: Duration) -> Option<Snapshot> {
         let declared = Arc::clone(&self.declared.borrow_and_update());
         let planned = declared.of_server(&self.server)?;
-        let interval = self.began.and_then(|(began, first)| {
-            let tokens = u32::try_from(journal.next_index() - first).unwrap_or(u32::MAX);
-            now.saturating_sub(began).checked_div(tokens)
+        let interval = self.first_token.and_then(|(first_token, first_index)| {
+            let tokens = u32::try_from(journal.next_index() - first_index).unwrap_or(u32::MAX);
+            now.saturating_sub(first_token).checked_div(tokens)
         });
         Some(Snapshot {
-            accepted: planned.known,
+            accepted: planned.recorded_at,
             date: planned.date,
             share: planned_stop::share(&self.request.request_id),
             remaining_tokens: self.request.max_tokens.saturating_sub(journal.next_index()),
@@ -132,7 +137,8 @@
         })
     }
 
-    /// Waits for a change, for `wake`, or until the next attempt has produced its first frame.
+    /// Waits for a change of the stops, for the time `wake`, or for the first frame of the next
+    /// attempt, which it returns.
     async fn wait(&mut self, wake: Option<Duration>) -> Option<Prepared> {
         let clock = self.context.clock;
         let alarm = async {
@@ -141,15 +147,15 @@
                 None => std::future::pending().await,
             }
         };
-        let opening = async {
-            match &mut self.opening {
-                Some(opening) => opening.await.ok().flatten(),
+        let preparing = async {
+            match &mut self.preparing {
+                Some(preparing) => preparing.await.ok().flatten(),
                 None => std::future::pending().await,
             }
         };
         tokio::select! {
-            prepared = opening => {
-                self.opening = None;
+            prepared = preparing => {
+                self.preparing = None;
                 prepared
             }
             _ = self.declared.changed() => None,
@@ -157,12 +163,12 @@
         }
     }
 
-    /// Starts the next attempt on another server, resumed from what was delivered.
-    fn open(&mut self, journal: &Journal) {
+    /// Starts the next attempt on another server; it resumes after the tokens delivered so far.
+    fn start_next_attempt(&mut self, journal: &Journal) {
         let attempt = journal.prepared_attempt(self.prepared);
         self.prepared += 1;
         let need = Requirements {
-            deadline: self.context.clock.now() + self.patience,
+            deadline: self.context.clock.now() + self.admission_timeout,
             excluded: vec![Arc::clone(&self.server.name)],
             ..self.need.clone()
         };
@@ -173,18 +179,18 @@
         };
         let context = Arc::clone(&self.context);
         let (sender, receiver) = oneshot::channel();
-        self.opening = Some(receiver);
+        self.preparing = Some(receiver);
         tokio::spawn(async move {
             let prepared = prepare(&context, need, attempt, &request).await;
-            // What nobody waits for any more is given up.
+            // The generation has ended meanwhile: nobody will use this attempt.
             if let Err(Some(prepared)) = sender.send(prepared) {
-                give_up(&context, prepared.permit, &request).await;
+                abandon(&context, prepared.permit, &request).await;
             }
         });
     }
 }
 
-/// Starts an attempt and waits for its first frame.
+/// Starts an attempt and waits for its first frame; returns nothing if this fails or takes too long.
 async fn prepare(
     context: &Context,
     need: Requirements,
@@ -204,7 +210,7 @@
     };
     let opened = tokio::time::timeout_at(deadline, opened).await;
     let Ok(Some((first, frames))) = opened else {
-        give_up(context, permit, request).await;
+        abandon(context, permit, request).await;
         return None;
     };
     Some(Prepared {
@@ -215,8 +221,8 @@
     })
 }
 
-/// Cancels an attempt that is not wanted; its memory stays reserved meanwhile.
-async fn give_up(context: &Context, permit: Permit, request: &Generate) {
+/// Cancels an attempt that is not needed; its memory stays reserved until the cancellation has ended.
+async fn abandon(context: &Context, permit: Permit, request: &Generate) {
     let reference = Reference {
         request_id: Arc::clone(&request.request_id),
         attempt: request.attempt,
--- a/serving/src/modules/stops/in_flight.rs
+++ b/serving/src/modules/stops/in_flight.rs
@@ -1,25 +1,25 @@
-//! Requests of this entry in progress, counted by the backend server that they hold.
+//! Counts of this entry's requests in progress, and of its attempts at each backend server.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// Counts by backend server.
+/// Attempts in progress by backend server.
 type Counts = BTreeMap<Arc<str>, u64>;
 
-/// Requests in progress.
+/// Requests and attempts in progress at this entry.
 #[derive(Debug)]
 pub struct InFlight {
     requests: watch::Sender<u64>,
     servers: watch::Sender<Counts>,
 }
 
-/// Counts one request of this entry for as long as it lives.
+/// A guard that counts one request of this entry until it is dropped.
 #[derive(Debug)]
 pub struct Request(watch::Sender<u64>);
 
-/// Counts one attempt at a backend server for as long as it lives.
+/// A guard that counts one attempt at a backend server until it is dropped.
 #[derive(Debug)]
 pub struct Attempt {
     servers: watch::Sender<Counts>,
@@ -33,7 +33,7 @@
 }
 
 impl InFlight {
-    /// Returns a count of nothing.
+    /// Returns counts of zero.
     #[must_use]
     pub fn new() -> Self {
         Self {
--- a/serving/src/modules/stops/peer_exchange.rs
+++ b/serving/src/modules/stops/peer_exchange.rs
@@ -1,7 +1,8 @@
-//! Telling peers of planned stops, so that an entry that is cut off from the store knows them too.
+//! Exchange of planned stops between peers, so that entries that cannot reach the store have them too.
 //!
-//! What is new to an entry goes to the peers that it knows at once; after that each entry that knows
-//! stops exchanges them with one peer now and then, so that the cost of an entry is constant.
+//! An entry sends changed stops to all peers that are up immediately. Otherwise an entry that has
+//! any stops exchanges them with one random peer at each interval, so that the cost per entry is
+//! constant.
 
 use std::net::SocketAddr;
 
@@ -11,13 +12,13 @@
 use crate::context::Context;
 use crate::modules::peers;
 
-/// Tells peers of planned stops, for ever.
+/// Exchanges planned stops with peers; never returns.
 pub(super) async fn run(context: &Context) {
     let mut declared = context.stops.declared();
     loop {
         let pause = tokio::time::sleep(context.settings.stops.drain_interval);
-        let news = tokio::select! {
-            changed = declared.changed() => changed.is_ok(),
+        let changed = tokio::select! {
+            result = declared.changed() => result.is_ok(),
             () = pause => false,
         };
         declared.mark_unchanged();
@@ -25,29 +26,25 @@
         if stops.is_empty() {
             continue;
         }
-        let calls = peers(context, news)
+        let calls = peers(context, changed)
             .into_iter()
             .map(|peer| exchange(context, peer, stops.clone()));
         futures::future::join_all(calls).await;
     }
 }
 
-/// Returns the peers to tell: all that are known if there is news, or else one of them.
-fn peers(context: &Context, news: bool) -> Vec<SocketAddr> {
+/// Returns the peers to exchange stops with: all that are up after a change, or else a random one.
+fn peers(context: &Context, changed: bool) -> Vec<SocketAddr> {
     let members = context.membership.view();
     let members = members.borrow();
-    let known: Vec<SocketAddr> = members.up().map(|member| member.address).collect();
-    if news {
-        return known;
+    let up: Vec<SocketAddr> = members.up().map(|member| member.address).collect();
+    if changed {
+        return up;
     }
-    known
-        .choose(&mut rand::rng())
-        .copied()
-        .into_iter()
-        .collect()
+    up.choose(&mut rand::rng()).copied().into_iter().collect()
 }
 
-/// Tells a peer of stops and takes those that it knows.
+/// Sends stops to a peer and records those that it returns.
 async fn exchange(context: &Context, peer: SocketAddr, stops: Vec<Stop>) {
     let call = context
         .peers
@@ -55,9 +52,9 @@
             client.stops(call, stops).await
         });
     match call.await {
-        Ok(known) => {
-            context.stops.record(known, context.clock);
+        Ok(stops) => {
+            context.stops.record(stops, context.clock);
         }
-        Err(error) => log::debug!(error:% = error; "a peer could not be told of planned stops"),
+        Err(error) => log::debug!(error:% = error; "exchanging planned stops with a peer failed"),
     }
 }
