--- a/serving/src/modules/metrics.rs
+++ b/serving/src/modules/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics and health of an entry.
+//! Metrics of an entry, and the HTTP port that serves them and the health checks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,13 +18,13 @@
 /// Labels of a request.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Request {
-    /// Service that was asked.
+    /// Service that the request was for.
     pub service: String,
     /// `ran`, `not-run` or `unknown`.
     pub run: String,
 }
 
-/// Labels of an answer of the store that was not believed.
+/// Labels of an answer of the store that was rejected.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Refusal {
     /// `older`, `fork`, `missing` or `unreadable`.
@@ -38,12 +38,12 @@
     pub own_failure_domain: bool,
 }
 
-/// Requests that were admitted, by where their backend server is.
+/// Counts of admitted requests, by whether their backend server is in the own failure domain.
 #[derive(Clone, Debug, Default)]
 pub struct Admissions(Family<Admitted, Counter>);
 
 impl Admissions {
-    /// Counts a request admitted to a server in the own failure domain, or to another.
+    /// Counts a request admitted to a server in the own or another failure domain.
     pub fn count(&self, own_failure_domain: bool) {
         self.0.get_or_create(&Admitted { own_failure_domain }).inc();
     }
@@ -54,7 +54,7 @@
         self.value(true)
     }
 
-    /// Returns the requests admitted elsewhere.
+    /// Returns the requests admitted in other failure domains.
     #[must_use]
     pub fn other_failure_domains(&self) -> u64 {
         self.value(false)
@@ -71,21 +71,21 @@
     registry: Registry,
     /// Requests by service and outcome.
     pub requests: Family<Request, Counter>,
-    /// Requests admitted, by where their backend server is.
+    /// Admitted requests, by whether their backend server is in the own failure domain.
     pub admitted: Admissions,
-    /// Attempts of generations that were lost.
+    /// Attempts at generations that were lost.
     pub attempts_lost: Counter,
-    /// Declarations from the store that were not obeyed, by reason.
+    /// Declarations from the store that were rejected, by reason.
     pub store_refusals: Family<Refusal, Counter>,
-    /// Generations moved off a leaving server while it still ran them.
+    /// Generations moved off a leaving server while it was still running them.
     pub generations_moved: Counter,
-    /// Text held for readers that have not read it yet, in bytes.
+    /// Text buffered for readers that have not read it yet, in bytes.
     pub held_bytes: Gauge,
-    /// Generations taken from their engine because the reader did not read.
+    /// Generations cancelled at their engine because the reader did not read.
     pub generations_parked: Counter,
-    /// Times that held text was given up because the entry held too much.
+    /// Times that buffered text was discarded because the entry buffered too much.
     pub held_given_up: Counter,
-    /// Generations taken over with a resume token.
+    /// Generations that a caller continued with a resume token.
     pub generations_resumed: Counter,
 }
 
@@ -96,7 +96,7 @@
 }
 
 impl Metrics {
-    /// Returns metrics that count from zero.
+    /// Registers all metrics, with a value of zero.
     #[must_use]
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("medlarfall");
@@ -187,7 +187,7 @@
 /// Serves one path of the metrics port.
 struct Handle {
     context: Arc<Context>,
-    answer: fn(&Context) -> (StatusCode, String),
+    respond: fn(&Context) -> (StatusCode, String),
 }
 
 #[async_trait]
@@ -199,7 +199,7 @@
         response: &mut Response,
         _: &mut FlowCtrl,
     ) {
-        let (status, text) = (self.answer)(&self.context);
+        let (status, text) = (self.respond)(&self.context);
         response.status_code(status);
         response.render(Text::Plain(text));
     }
@@ -216,9 +216,9 @@
         .await;
     let acceptor = listener.map_err(std::io::Error::other)?;
     let address = acceptor.local_addr()?;
-    let handle = |answer| Handle {
+    let handle = |respond| Handle {
         context: Arc::clone(&context),
-        answer,
+        respond,
     };
     let router = Router::new()
         .push(
@@ -237,7 +237,7 @@
     Ok(address)
 }
 
-/// Answers whether the entry can take requests.
+/// Returns whether the entry can take requests, and if not, why.
 fn ready(context: &Context) -> (StatusCode, String) {
     if context.stops.leaving() {
         let reason = "not ready: this entry is leaving; send requests to another entry\n";
--- a/serving/src/modules/operators.rs
+++ b/serving/src/modules/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: remote procedure calls for declarations and status.
+//! The operators' port: a gRPC service for declarations, planned stops, orders, moves and status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 mod orders;
 mod stops;
 
-/// Answers operators.
+/// Handles the calls of operators.
 struct Handle {
     context: Arc<Context>,
 }
@@ -52,7 +52,7 @@
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), stop.cancelled_owned());
     tokio::spawn(async move {
         if let Err(error) = server.await {
-            log::error!(error = error.to_string().as_str(); "the operators' port has ended");
+            log::error!(error = error.to_string().as_str(); "server of the operators' port failed");
         }
     });
     Ok(address)
--- a/serving/src/modules/operators/apply.rs
+++ b/serving/src/modules/operators/apply.rs
@@ -1,7 +1,8 @@
-//! Storing a declaration: one compare-and-swap, settled by reading back if its answer is lost.
+//! Stores a change of a declaration by compare-and-swap; after a lost answer, reads the declaration
+//! again to find out whether the change was stored.
 //!
-//! Each value holds the identifiers of the last changes, so that a change is recognised also when
-//! another operator's change came right after it.
+//! Each stored declaration holds the identifiers of its last changes, so that a change is recognised
+//! even if another operator's change has replaced it.
 
 use std::time::Duration;
 
@@ -17,17 +18,17 @@
 
 pub use change::Change;
 
-/// Longest time in which a write whose answer was lost is settled by reading back.
+/// Time limit for storing a change, including reading it again after lost answers.
 const SETTLE_LIMIT: Duration = Duration::from_secs(5);
 
-/// Pause between two tries.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Reads after which a store that returns an older revision than the operator has seen is given up.
-const OLD_READS: usize = 5;
+/// Reads of a revision older than the operator has seen after which the change is refused.
+const MAX_OUTDATED_READS: usize = 5;
 
-/// Changes that a declaration remembers.
-const HISTORY: usize = 32;
+/// Changes kept in the history of a declaration.
+const HISTORY_LIMIT: usize = 32;
 
 /// Why a change was not accepted.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
@@ -42,7 +43,7 @@
         /// What to write instead.
         remedy: &'static str,
     },
-    /// Another change came first.
+    /// Another change was stored first.
     #[snafu(display(
         "service `{name}` is at revision {newer}, not {seen}: list it, then apply your change to that revision"
     ))]
@@ -54,7 +55,7 @@
         /// Revision in the store.
         newer: u64,
     },
-    /// Other changes came later, so many that it is no longer known whether this one was stored.
+    /// So many changes were stored since that the history no longer shows whether this one was.
     #[snafu(display(
         "service `{name}` is at revision {newer}, not {seen}, and the changes right after {seen} are no longer kept: list it, and if your change is not in it apply the change to that revision"
     ))]
@@ -78,7 +79,7 @@
         /// Revision that the store returns.
         older: u64,
     },
-    /// The store did not take the change.
+    /// The store refused the change.
     #[snafu(display(
         "the change was not stored: {reason}; apply it again when the platform is back"
     ))]
@@ -86,7 +87,7 @@
         /// What happened.
         reason: String,
     },
-    /// It could not be settled whether the change was stored.
+    /// It is not known whether the change was stored.
     #[snafu(display(
         "it is not known whether the change was stored: {reason}; apply it again with the same change id"
     ))]
@@ -108,27 +109,28 @@
     }
 }
 
-/// What the newest known declaration means for a change.
-enum Standing {
+/// How a change compares with the newest known declaration.
+enum Comparison {
     /// The change was stored, as this declaration.
     Stored(Box<Service>),
-    /// The change may be stored after this declaration.
+    /// The change is based on this declaration and may be stored.
     Next(Box<Service>),
-    /// The store is behind what the operator has seen.
+    /// The store returned this revision, which is older than the one that the operator has seen.
     Behind(u64),
 }
 
-/// Stores a change, or returns what was stored if this very change was stored before.
+/// Stores a change and returns the stored declaration; a change that is already stored is not stored
+/// again.
 ///
-/// `held` is the newest declaration of the service that this entry has seen: a store that returns
-/// an older one is not believed.
+/// `known` is the newest declaration of the service that this entry has seen; it is used in place of
+/// an older one that the store returns.
 ///
 /// # Errors
 ///
-/// Returns whether the change was not stored, or may have been.
+/// Returns why the change was refused, or that it is not known whether it was stored.
 pub async fn store<S: Store>(
     store: &S,
-    held: Option<&Service>,
+    known: Option<&Service>,
     change: Change,
 ) -> Result<Service, Error> {
     let key = format!("{PREFIX}{}", change.service.name);
@@ -136,11 +138,11 @@
     let mut writer = Writer {
         store,
         key,
-        held: held.cloned().unwrap_or_default(),
+        known: known.cloned().unwrap_or_default(),
         change,
-        sent: false,
-        told: None,
-        old_reads: 0,
+        maybe_stored: false,
+        conflicting: None,
+        outdated_reads: 0,
     };
     loop {
         if let Some(outcome) = writer.attempt().await {
@@ -153,24 +155,24 @@
     }
 }
 
-/// The item under a key as a refused write showed it.
-struct Told(Option<Item>);
+/// The stored item, or its absence, as returned by a write that was refused as a conflict.
+struct ConflictingItem(Option<Item>);
 
-/// The state of storing one change.
+/// The state of one change that is being stored.
 struct Writer<'a, S> {
     store: &'a S,
     key: String,
-    held: Service,
+    known: Service,
     change: Change,
     /// Whether a write may have taken effect.
-    sent: bool,
-    /// What a refused write showed, which is newer than what a read may return.
-    told: Option<Told>,
-    old_reads: usize,
+    maybe_stored: bool,
+    /// Item returned by a refused write; a read might return an older one.
+    conflicting: Option<ConflictingItem>,
+    outdated_reads: usize,
 }
 
 impl<S: Store> Writer<'_, S> {
-    /// Reads, judges and writes once; returns nothing if another attempt is needed.
+    /// Reads, compares and writes once; returns nothing if another attempt is needed.
     async fn attempt(&mut self) -> Option<Result<Service, Error>> {
         let item = match self.read().await {
             Ok(item) => item,
@@ -180,10 +182,10 @@
             Ok(current) => current.unwrap_or_default(),
             Err(error) => return self.failed(&error),
         };
-        let base = match self.judge(current) {
-            Ok(Standing::Stored(service)) => return Some(Ok(*service)),
-            Ok(Standing::Next(base)) => *base,
-            Ok(Standing::Behind(older)) => return self.behind(older),
+        let base = match self.compare(current) {
+            Ok(Comparison::Stored(service)) => return Some(Ok(*service)),
+            Ok(Comparison::Next(base)) => *base,
+            Ok(Comparison::Behind(older)) => return self.behind(older),
             Err(error) => return Some(Err(error)),
         };
         let service = self.next(&base);
@@ -195,32 +197,32 @@
         match self.store.put(&self.key, value, expected, None).await {
             Ok(_) => Some(Ok(service)),
             Err(platform::Error::Conflict { current }) => {
-                self.told = Some(Told(current));
+                self.conflicting = Some(ConflictingItem(current));
                 None
             }
             Err(platform::Error::Lost { .. }) => {
-                self.sent = true;
+                self.maybe_stored = true;
                 None
             }
             Err(error) => self.failed(&error),
         }
     }
 
-    /// Returns the item as a refused write showed it, or else reads it.
+    /// Returns the item that a refused write returned, or else reads it from the store.
     async fn read(&mut self) -> Result<Option<Item>, platform::Error> {
-        match self.told.take() {
-            Some(Told(item)) => Ok(item),
+        match self.conflicting.take() {
+            Some(ConflictingItem(item)) => Ok(item),
             None => self.store.get(&self.key).await,
         }
     }
 
-    /// Judges the change against the newest declaration known.
-    fn judge(&self, current: Service) -> Result<Standing, Error> {
+    /// Compares the change with the newest known declaration.
+    fn compare(&self, current: Service) -> Result<Comparison, Error> {
         let Change { service, seen } = &self.change;
-        let newest = if current.revision >= self.held.revision {
+        let newest = if current.revision >= self.known.revision {
             current
         } else {
-            self.held.clone()
+            self.known.clone()
         };
         let newer = newest.revision;
         let name = service.name.clone();
@@ -228,17 +230,17 @@
             .history
             .iter()
             .find(|past| past.change_id == service.change_id);
-        let kept = newest.history.first().map_or(newer, |past| past.revision);
+        let oldest_kept = newest.history.first().map_or(newer, |past| past.revision);
         match stored {
-            _ if newest.change_id == service.change_id => Ok(Standing::Stored(Box::new(newest))),
+            _ if newest.change_id == service.change_id => Ok(Comparison::Stored(Box::new(newest))),
             Some(past) => {
                 let mut service = service.clone();
                 service.revision = past.revision;
-                Ok(Standing::Stored(Box::new(service)))
+                Ok(Comparison::Stored(Box::new(service)))
             }
-            None if newer == *seen => Ok(Standing::Next(Box::new(newest))),
-            None if newer < *seen => Ok(Standing::Behind(newer)),
-            None if kept > seen + 1 => Err(Error::Forgotten {
+            None if newer == *seen => Ok(Comparison::Next(Box::new(newest))),
+            None if newer < *seen => Ok(Comparison::Behind(newer)),
+            None if oldest_kept > seen + 1 => Err(Error::Forgotten {
                 name,
                 seen: *seen,
                 newer,
@@ -260,17 +262,18 @@
         service
     }
 
-    /// Gives up on a failure unless a write may have taken effect, which is still to be settled.
+    /// Returns an error, or nothing if a write may have taken effect and must be looked up first.
     fn failed(&self, error: &impl ToString) -> Option<Result<Service, Error>> {
         let reason = error.to_string();
-        (!self.sent).then_some(Err(Error::NotStored { reason }))
+        (!self.maybe_stored).then_some(Err(Error::NotStored { reason }))
     }
 
-    /// Gives up on a store that stays behind what the operator has seen.
+    /// Returns an error once the store has returned outdated revisions repeatedly, unless a write may
+    /// have taken effect.
     fn behind(&mut self, older: u64) -> Option<Result<Service, Error>> {
-        self.old_reads += 1;
-        let give_up = !self.sent && self.old_reads >= OLD_READS;
-        give_up.then(|| {
+        self.outdated_reads += 1;
+        let refused = !self.maybe_stored && self.outdated_reads >= MAX_OUTDATED_READS;
+        refused.then(|| {
             Err(Error::Older {
                 name: self.change.service.name.clone(),
                 seen: self.change.seen,
@@ -279,22 +282,22 @@
         })
     }
 
-    /// Returns the error of a change that could not be settled in time.
+    /// Returns the error of a change whose outcome is unknown at the deadline.
     fn unsettled(&self) -> Error {
         let reason = format!(
             "the store gave no clear answer for {} s",
             SETTLE_LIMIT.as_secs()
         );
-        if self.sent {
+        if self.maybe_stored {
             return Error::Unknown { reason };
         }
         Error::NotStored { reason }
     }
 }
 
-/// Adds a declaration's own change to its history, and leaves out what is too old.
+/// Adds a declaration's own change to its history, and removes the oldest ones above the limit.
 pub fn record_history(service: &mut Service) {
-    let skipped = (service.history.len() + 1).saturating_sub(HISTORY);
+    let skipped = (service.history.len() + 1).saturating_sub(HISTORY_LIMIT);
     service.history.drain(..skipped);
     service.history.push(Past {
         change_id: service.change_id.clone(),
@@ -302,7 +305,7 @@
     });
 }
 
-/// Returns the declaration in an item.
+/// Parses the declaration in an item.
 fn declaration(item: &Item) -> Result<Service, serde_json::Error> {
     serde_json::from_str(&item.value)
 }
--- a/serving/src/modules/operators/apply/change.rs
+++ b/serving/src/modules/operators/apply/change.rs
@@ -1,4 +1,4 @@
-//! Changes that operators ask for, checked.
+//! Validated changes of declarations.
 
 use medlarfall_schema::declaration::{Kind, Service};
 use medlarfall_schema::operator::ApplyRequest;
@@ -8,12 +8,12 @@
 /// Longest name or identifier, in bytes.
 const NAME_LIMIT: usize = 100;
 
-/// A checked change of one service.
+/// A validated change of one service's declaration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     /// The declaration to store.
     pub(super) service: Service,
-    /// Revision that the operator has seen.
+    /// Revision that the operator has seen, on which the change is based.
     pub(super) seen: u64,
 }
 
@@ -31,8 +31,8 @@
     fn try_from(request: ApplyRequest) -> Result<Self, Error> {
         let mut service = request.service.unwrap_or_default();
         check(&service)?;
-        let identified = !request.change_id.is_empty() && request.change_id.len() <= NAME_LIMIT;
-        if !identified {
+        let id_valid = !request.change_id.is_empty() && request.change_id.len() <= NAME_LIMIT;
+        if !id_valid {
             return Err(invalid(
                 "change_id",
                 &request.change_id,
@@ -54,12 +54,12 @@
     }
 }
 
-/// Checks a declaration.
+/// Validates a declaration.
 fn check(service: &Service) -> Result<(), Error> {
-    let named = !service.name.is_empty()
+    let name_valid = !service.name.is_empty()
         && service.name.len() <= NAME_LIMIT
         && service.name.chars().all(allowed);
-    if !named {
+    if !name_valid {
         return Err(invalid(
             "service.name",
             &service.name,
@@ -81,11 +81,11 @@
         ));
     }
     for route in &service.routes {
-        let capitals = route
+        let uppercase = route
             .method
             .chars()
             .all(|letter| letter.is_ascii_uppercase());
-        if route.method.is_empty() || !capitals {
+        if route.method.is_empty() || !uppercase {
             return Err(invalid(
                 "service.routes.method",
                 &route.method,
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-/// Returns whether a character may stand in a service's name.
+/// Returns whether a character is allowed in a service's name.
 fn allowed(character: char) -> bool {
     character.is_ascii_alphanumeric() || matches!(character, '-' | '.')
 }
--- a/serving/src/modules/operators/confirm.rs
+++ b/serving/src/modules/operators/confirm.rs
@@ -1,5 +1,7 @@
-//! Confirmations that a revision is in force: each entry asks its failure domain, and one contact
-//! in each other failure domain asks there.
+//! Confirmation that a revision of a declaration is in force at every entry.
+//!
+//! An entry queries the entries of its own failure domain, and one contact in each other failure
+//! domain, which queries the entries there.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,57 +17,57 @@
 use crate::context::Context;
 use crate::modules::declarations::Declarations;
 
-/// Longest wait for a revision at an entry that is asked.
-const HOLD: Duration = Duration::from_millis(500);
+/// Time that a queried entry waits for the revision before it answers.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Timeout of a call to an entry that asks nobody else.
+/// Timeout of a query that the called entry answers for itself alone.
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Timeout of a call to an entry that asks its failure domain.
+/// Timeout of a query that the called entry answers for its failure domain.
 const DOMAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Entries asked at a time.
-const ASKED: usize = 64;
+/// Queries in progress at the same time.
+const CONCURRENT_CALLS: usize = 64;
 
-/// Default of the longest wait for all confirmations.
-const WAIT_LIMIT: Duration = Duration::from_secs(30);
+/// Default time limit for all confirmations.
+const DEFAULT_LIMIT: Duration = Duration::from_secs(30);
 
-/// Pause between two rounds.
+/// Pause between two rounds of queries.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// The question whether a revision is in force.
+/// A query whether a revision is in force.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Query {
     /// Name of the service.
     pub name: Arc<str>,
     /// The revision.
     pub revision: u64,
-    /// Whether the entry that is asked is to ask its whole failure domain.
+    /// Whether the called entry answers for its whole failure domain.
     pub domain: bool,
 }
 
-/// Who confirmed a revision, and who cannot.
+/// Which entries have confirmed a revision, and which have not.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default)]
 pub struct Confirmation {
     /// Entries at which the revision, or a newer one, is in force.
     pub confirmed: BTreeSet<Arc<str>>,
-    /// Entries that are held to be up and have not confirmed it.
+    /// Entries that are believed to be up and have not confirmed it.
     pub missing: BTreeSet<Arc<str>>,
     /// Entries that are known to be down.
     pub down: BTreeSet<Arc<str>>,
 }
 
 impl Confirmation {
-    /// Adds what others have found.
+    /// Adds the results of another query.
     fn join(&mut self, other: Self) {
         self.confirmed.extend(other.confirmed);
         self.missing.extend(other.missing);
         self.down.extend(other.down);
     }
 
-    /// Leaves each entry in one set: a confirmation counts for more than any doubt.
-    fn settle(&mut self) {
+    /// Removes confirmed entries and those known to be down from the missing ones.
+    fn prune_missing(&mut self) {
         let Self {
             confirmed,
             missing,
@@ -75,25 +77,30 @@
     }
 }
 
-/// Waits until every live entry confirms a revision, or the limit has passed; 0 stands for 30 s.
+/// Waits until every live entry has confirmed a revision, or until `limit` has passed (30 s if it is
+/// zero).
 pub async fn wait(
     context: &Arc<Context>,
     name: &str,
     revision: u64,
     limit: Duration,
 ) -> Confirmation {
-    let limit = if limit.is_zero() { WAIT_LIMIT } else { limit };
+    let limit = if limit.is_zero() {
+        DEFAULT_LIMIT
+    } else {
+        limit
+    };
     let deadline = Instant::now() + limit;
-    let question = Query {
+    let query = Query {
         name: Arc::from(name),
         revision,
         domain: true,
     };
     let mut confirmation = Confirmation::default();
     loop {
-        let mut round = everywhere(context, &question).await;
+        let mut round = query_all_domains(context, &query).await;
         round.confirmed.append(&mut confirmation.confirmed);
-        round.settle();
+        round.prune_missing();
         confirmation = round;
         if confirmation.missing.is_empty() || Instant::now() >= deadline {
             return confirmation;
@@ -102,8 +109,8 @@
     }
 }
 
-/// Asks all failure domains once.
-async fn everywhere(context: &Arc<Context>, question: &Query) -> Confirmation {
+/// Queries all failure domains once.
+async fn query_all_domains(context: &Arc<Context>, query: &Query) -> Confirmation {
     let membership = Arc::clone(&context.membership.view().borrow());
     let mut domains: BTreeMap<&str, Vec<&Member>> = BTreeMap::new();
     for contact in &membership.contacts {
@@ -113,63 +120,63 @@
     let contacts = domains
         .values()
         .filter_map(|contacts| contacts.iter().copied().choose(&mut rand::rng()));
-    let mut found = respond(context, question.clone()).await;
-    found.join(ask_all(context, contacts, question, DOMAIN_TIMEOUT).await);
-    let listed = Arc::clone(&context.directory.borrow());
-    found.missing.extend(listed.entries().keys().cloned());
-    found
+    let mut result = respond(context, query.clone()).await;
+    result.join(query_all(context, contacts, query, DOMAIN_TIMEOUT).await);
+    let directory = Arc::clone(&context.directory.borrow());
+    result.missing.extend(directory.entries().keys().cloned());
+    result
 }
 
-/// Answers a question of a peer, after a short wait if the revision is not in force yet.
-pub async fn respond(context: &Arc<Context>, question: Query) -> Confirmation {
-    let mut found = Confirmation::default();
+/// Answers a query; waits a short time if the revision is not in force yet.
+pub async fn respond(context: &Arc<Context>, query: Query) -> Confirmation {
+    let mut result = Confirmation::default();
     let own = Arc::clone(&context.settings.entry.name);
     let mut view = context.board.view();
     let in_force = |declarations: &Arc<Declarations>| {
-        declarations.revision(&question.name) >= Some(question.revision)
+        declarations.revision(&query.name) >= Some(query.revision)
     };
-    let waited = tokio::time::timeout(HOLD, view.wait_for(in_force)).await;
+    let waited = tokio::time::timeout(CONFIRM_TIMEOUT, view.wait_for(in_force)).await;
     let confirmed = waited.is_ok_and(|waited| waited.is_ok());
-    let side = if confirmed {
-        &mut found.confirmed
+    let names = if confirmed {
+        &mut result.confirmed
     } else {
-        &mut found.missing
+        &mut result.missing
     };
-    side.insert(own);
-    if question.domain {
+    names.insert(own);
+    if query.domain {
         let membership = Arc::clone(&context.membership.view().borrow());
-        let question = Query {
+        let query = Query {
             domain: false,
-            ..question
+            ..query
         };
         let neighbours = membership.neighbours.iter();
-        found.join(ask_all(context, neighbours, &question, CALL_TIMEOUT).await);
+        result.join(query_all(context, neighbours, &query, CALL_TIMEOUT).await);
         let down = membership
             .down
             .iter()
             .map(|member| Arc::clone(&member.name));
-        found.down.extend(down);
+        result.down.extend(down);
     }
-    found
+    result
 }
 
-/// Asks several entries at once.
-async fn ask_all<'a>(
+/// Queries several entries concurrently; those that do not answer count as missing.
+async fn query_all<'a>(
     context: &Arc<Context>,
     members: impl Iterator<Item = &'a Member>,
-    question: &Query,
+    query: &Query,
     timeout: Duration,
 ) -> Confirmation {
-    let asked: Vec<(Arc<str>, SocketAddr)> = members
+    let addresses: Vec<(Arc<str>, SocketAddr)> = members
         .map(|member| (Arc::clone(&member.name), member.address))
         .collect();
-    let calls = asked.into_iter().map(|(name, address)| {
-        let (context, question) = (Arc::clone(context), question.clone());
+    let calls = addresses.into_iter().map(|(name, address)| {
+        let (context, query) = (Arc::clone(context), query.clone());
         async move {
             let call = context
                 .peers
                 .call(address, timeout, |client, deadline| async move {
-                    client.confirm(deadline, question).await
+                    client.confirm(deadline, query).await
                 });
             call.await.unwrap_or_else(|_| Confirmation {
                 missing: BTreeSet::from([name]),
@@ -178,7 +185,7 @@
         }
     });
     let answers: Vec<Confirmation> = futures::stream::iter(calls)
-        .buffer_unordered(ASKED)
+        .buffer_unordered(CONCURRENT_CALLS)
         .collect()
         .await;
     answers
--- a/serving/src/modules/operators/moves.rs
+++ b/serving/src/modules/operators/moves.rs
@@ -1,4 +1,4 @@
-//! Starting, watching and cancelling moves.
+//! Operators' calls that start, watch and cancel moves.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::context::Context;
 use crate::modules::moves::{Message, store, unix_ms};
 
-/// States of a move, as an operator watches them.
+/// The stream of a move's states that an operator watches.
 pub(super) type States = Pin<Box<dyn Stream<Item = Result<rpc::MoveState, Status>> + Send>>;
 
 impl From<store::Error> for Status {
@@ -27,7 +27,7 @@
     }
 }
 
-/// Starts a move and returns it as stored.
+/// Starts a move and returns its state as stored.
 pub(super) async fn start(
     context: &Context,
     request: rpc::StartMoveRequest,
@@ -38,7 +38,7 @@
     Ok(state(&stored))
 }
 
-/// Checks a request for a move.
+/// Validates a request and returns the record of the move that it starts.
 fn check(context: &Context, request: &rpc::StartMoveRequest) -> Result<Record, Status> {
     let declarations = Arc::clone(&context.declarations.borrow());
     let service = declarations.service(&request.service).ok_or_else(|| {
@@ -57,11 +57,11 @@
         return Err(Status::invalid_argument(message));
     }
     let plan = context.settings.moves.plan.clone();
-    let left = Duration::from_millis(request.deadline_ms.saturating_sub(unix_ms()));
-    if left < plan.shortest() {
+    let remaining = Duration::from_millis(request.deadline_ms.saturating_sub(unix_ms()));
+    if remaining < plan.shortest() {
         let message = format!(
             "the deadline is {} away, too near for {} stages: give at least {}",
-            humantime::format_duration(left),
+            humantime::format_duration(remaining),
             plan.shares.len(),
             humantime::format_duration(plan.shortest()),
         );
@@ -77,10 +77,10 @@
     ))
 }
 
-/// Takes a move back.
+/// Cancels a move.
 ///
-/// If the store does not answer, this entry and its peers stop sending requests to the new version
-/// all the same, and the answer says that the end is not yet recorded.
+/// If the store does not answer, this entry and its peers still stop sending requests to the new
+/// version, and the returned state shows that the end is not stored yet.
 pub(super) async fn cancel(
     context: &Context,
     request: rpc::CancelMoveRequest,
@@ -97,15 +97,15 @@
     Ok(state(&record))
 }
 
-/// Returns the move that an operator means: by its identifier, or the service's last one.
+/// Returns the move with an identifier, or the service's latest one if the identifier is empty.
 async fn find(context: &Context, service: &str, id: &str) -> Result<Record, Status> {
-    let meant = |record: &Record| id.is_empty() || *record.id == *id;
+    let matches = |record: &Record| id.is_empty() || *record.id == *id;
     let known = context.moves.last(service);
-    if let Some(known) = known.filter(|known| meant(known)) {
+    if let Some(known) = known.filter(|known| matches(known)) {
         return Ok(known.as_ref().clone());
     }
     let stored = store::read(&context.platform, service).await?;
-    let stored = stored.filter(meant).ok_or_else(|| {
+    let stored = stored.filter(matches).ok_or_else(|| {
         let message = format!("service `{service}` has no such last move {id}: start one first");
         Status::not_found(message)
     })?;
@@ -113,7 +113,7 @@
     Ok(stored)
 }
 
-/// Returns the states of a service's move, up to its end.
+/// Streams the states of a service's move until it has ended.
 pub(super) async fn watch(
     context: &Context,
     request: rpc::WatchMoveRequest,
@@ -135,7 +135,7 @@
     Ok(Box::pin(until_end(states)))
 }
 
-/// Ends a stream of states after the first that is an end.
+/// Ends a stream of states after the first final state.
 fn until_end(
     states: impl Stream<Item = Result<rpc::MoveState, Status>> + Send + 'static,
 ) -> impl Stream<Item = Result<rpc::MoveState, Status>> + Send + 'static {
@@ -153,7 +153,7 @@
     })
 }
 
-/// Returns a record as an operator reads it.
+/// Converts a record into the state that is sent to operators.
 fn state(record: &Record) -> rpc::MoveState {
     let (phase, reason) = match &record.phase {
         Phase::Stage(_) => (rpc::MovePhase::Stage, ""),
--- a/serving/src/modules/operators/orders.rs
+++ b/serving/src/modules/operators/orders.rs
@@ -1,4 +1,4 @@
-//! Orders of operators to backend servers.
+//! Operators' calls that give orders to backend servers.
 
 use std::time::Duration;
 
@@ -9,8 +9,8 @@
 use crate::context::Context;
 use crate::modules::orders::{self, Desired, Error};
 
-/// Longest wait for the lock of a server.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Time for which a server's lock is requested before the order is given up.
+const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl From<Error> for Status {
     fn from(error: Error) -> Self {
@@ -23,7 +23,7 @@
     }
 }
 
-/// Orders a backend server into a state.
+/// Orders a backend server to change to a state, and returns the state that it reached.
 pub(super) async fn order(
     context: &Context,
     request: rpc::OrderRequest,
@@ -48,7 +48,8 @@
         ));
     }
     let enforced = context.enforces_fencing(&server);
-    let state = orders::execute(&context.orders(), &server, &desired, enforced, PATIENCE).await?;
+    let state =
+        orders::execute(&context.orders(), &server, &desired, enforced, LOCK_TIMEOUT).await?;
     Ok(rpc::OrderReply {
         fencing: state.fencing,
         versions: state.versions.into_iter().collect(),
--- a/serving/src/modules/operators/stops.rs
+++ b/serving/src/modules/operators/stops.rs
@@ -1,4 +1,4 @@
-//! Planning, watching and cancelling stops.
+//! Operators' calls that plan, watch and cancel stops.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,20 +16,20 @@
 use crate::platform::Store as _;
 use crate::utils::settle::{self, Error};
 
-/// What the operator who watches a stop is told.
+/// The stream of a stop's progress that an operator watches.
 pub(super) type Progress = ReceiverStream<Result<rpc::StopProgress, Status>>;
 
-/// Pause between two looks at what holds a stop.
-const LOOK_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause between two polls of the requests that hold a stop.
+const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Time for which nothing must have held a stop before it has finished.
-const SETTLE: Duration = Duration::from_secs(2);
+/// Time without any request in progress after which a stop counts as finished.
+const QUIET_PERIOD: Duration = Duration::from_secs(2);
 
-/// Timeout of reading what a server runs.
+/// Timeout of reading the load of a server.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Messages kept for an operator who does not read.
-const MESSAGES_KEPT: usize = 16;
+/// Messages buffered for an operator who does not read.
+const STREAM_CAPACITY: usize = 16;
 
 impl settle::Value for Stop {
     fn change_id(&self) -> &str {
@@ -37,12 +37,12 @@
     }
 }
 
-/// Plans a stop, or changes its date.
+/// Plans a stop, or changes the date of a planned one.
 pub(super) async fn plan(context: &Context, request: rpc::PlanStopRequest) -> Result<Stop, Status> {
     let wanted = request.stop.unwrap_or_default();
     let target = target(&wanted.target)?;
     check(&request.change_id, wanted.date_ms)?;
-    known(context, &target)?;
+    check_registered(context, &target)?;
     let key = format!("{PREFIX}{target}");
     let next = |current: Option<Stop>| {
         let newer = current.map_or(0, |stop| stop.revision);
@@ -64,7 +64,7 @@
     store(context, &key, &request.change_id, next).await
 }
 
-/// Takes a planned stop back.
+/// Cancels a planned stop.
 pub(super) async fn cancel(
     context: &Context,
     request: rpc::CancelStopRequest,
@@ -85,7 +85,7 @@
     store(context, &key, &request.change_id, next).await
 }
 
-/// Stores a change and puts it in force at this entry.
+/// Stores a change and applies it at this entry.
 async fn store(
     context: &Context,
     key: &str,
@@ -97,7 +97,7 @@
     Ok(stored)
 }
 
-/// Reads a target.
+/// Parses a target.
 fn target(value: &str) -> Result<Target, Status> {
     let target = value.parse::<Target>();
     target.map_err(|error| Status::invalid_argument(error.to_string()))
@@ -118,8 +118,8 @@
     Ok(())
 }
 
-/// Refuses a server that is not on the instance list.
-fn known(context: &Context, target: &Target) -> Result<(), Status> {
+/// Returns an error for a server that is not on the instance list.
+fn check_registered(context: &Context, target: &Target) -> Result<(), Status> {
     let Target::Server(name) = target else {
         return Ok(());
     };
@@ -131,33 +131,33 @@
     }
 }
 
-/// Tells what holds a stop until it has finished or was cancelled.
+/// Streams the progress of a stop until it has finished or was cancelled.
 pub(super) async fn watch(context: &Arc<Context>, value: &str) -> Result<Progress, Status> {
     let target = target(value)?;
-    let here = &context.settings.entry.name;
-    if matches!(&target, Target::Entry(name) if name != here) {
+    let own_name = &context.settings.entry.name;
+    if matches!(&target, Target::Entry(name) if name != own_name) {
         return Err(Status::failed_precondition(format!(
             "only the entry itself knows what holds it: watch `{target}` at that entry"
         )));
     }
     if context.stops.declared().borrow().find(&target).is_none() {
-        read(context, &target).await?;
+        record_stored(context, &target).await?;
     }
-    let (sender, receiver) = mpsc::channel(MESSAGES_KEPT);
+    let (sender, receiver) = mpsc::channel(STREAM_CAPACITY);
     let context = Arc::clone(context);
     tokio::spawn(async move {
         let stop = context.stop.clone();
         tokio::select! {
             () = stop.cancelled() => {}
             () = sender.closed() => {}
-            () = follow(&context, &target, &sender) => {}
+            () = poll(&context, &target, &sender) => {}
         }
     });
     Ok(ReceiverStream::new(receiver))
 }
 
-/// Reads a stop that this entry has not heard of yet.
-async fn read(context: &Context, target: &Target) -> Result<(), Status> {
+/// Reads a stop that this entry has not recorded yet from the store, and records it.
+async fn record_stored(context: &Context, target: &Target) -> Result<(), Status> {
     let item = context.platform.get(&format!("{PREFIX}{target}")).await;
     let item = item.map_err(|error| Status::unavailable(error.to_string()))?;
     let stop = item.and_then(|item| serde_json::from_str::<Stop>(&item.value).ok());
@@ -172,61 +172,62 @@
     }
 }
 
-/// Looks again and again at what holds a stop, and tells of each change.
-async fn follow(
+/// Polls the progress of a stop, and sends each change, until the stop has ended.
+async fn poll(
     context: &Context,
     target: &Target,
     sender: &mpsc::Sender<Result<rpc::StopProgress, Status>>,
 ) {
-    let mut quiet = Completion::new(SETTLE);
-    let mut told = None;
+    let mut completion = Completion::new(QUIET_PERIOD);
+    let mut last_sent = None;
     loop {
         let Some(planned) = context.stops.declared().borrow().find(target).cloned() else {
             return;
         };
-        let mut progress = look(context, target, &planned).await;
+        let mut progress = read_progress(context, target, &planned).await;
         let now = context.clock.now();
-        let state = match held(&progress, now >= planned.date) {
+        let state = match remaining_requests(&progress, now >= planned.date) {
             _ if planned.stop.cancelled => rpc::StopState::Cancelled,
-            held if quiet.observe(now, held) => rpc::StopState::Finished,
+            remaining if completion.observe(now, remaining) => rpc::StopState::Finished,
             _ => rpc::StopState::Leaving,
         };
         progress.state = state.into();
-        let news = told.as_ref() != Some(&progress);
-        if news && sender.send(Ok(progress.clone())).await.is_err() {
+        let changed = last_sent.as_ref() != Some(&progress);
+        if changed && sender.send(Ok(progress.clone())).await.is_err() {
             return;
         }
         if state != rpc::StopState::Leaving {
             return;
         }
-        told = Some(progress);
-        tokio::time::sleep(LOOK_INTERVAL).await;
+        last_sent = Some(progress);
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Returns how many requests hold a stop, or nothing if this is not known; a server that cannot be
-/// read after the date has stopped.
-fn held(progress: &rpc::StopProgress, over: bool) -> Option<u64> {
-    let known = progress.unread.is_empty() || over;
-    let held = progress
+/// Returns the number of requests that hold a stop, or nothing if a server's load could not be read.
+///
+/// After the date (`date_passed`), a server that does not answer counts as stopped.
+fn remaining_requests(progress: &rpc::StopProgress, date_passed: bool) -> Option<u64> {
+    let known = progress.unread.is_empty() || date_passed;
+    let requests = progress
         .holders
         .iter()
         .map(|holder| holder.own.max(holder.reported));
-    known.then(|| held.sum())
+    known.then(|| requests.sum())
 }
 
-/// Returns what holds a stop now.
-async fn look(context: &Context, target: &Target, planned: &Planned) -> rpc::StopProgress {
+/// Returns the current progress of a stop: the requests that hold it, by server and entry.
+async fn read_progress(context: &Context, target: &Target, planned: &Planned) -> rpc::StopProgress {
     let directory = Arc::clone(&context.directory.borrow());
     let servers = directory
         .iter()
         .filter(|server| target.covers_server(&server.name, &server.failure_domain));
-    let looks = servers.map(|server| at(context, server));
+    let reads = servers.map(|server| read_load(context, server));
     let mut progress = rpc::StopProgress {
         stop: Some(planned.stop.clone()),
         ..rpc::StopProgress::default()
     };
-    for (server, own, reported) in futures::future::join_all(looks).await {
+    for (server, own, reported) in futures::future::join_all(reads).await {
         if reported.is_none() {
             progress.unread.push(server.clone());
         }
@@ -248,8 +249,9 @@
     progress
 }
 
-/// Returns a server's name, this entry's requests there and what the server says it runs.
-async fn at(context: &Context, server: &Server) -> (String, u64, Option<u64>) {
+/// Returns a server's name, this entry's attempts there, and the load that the server reports, if it
+/// could be read.
+async fn read_load(context: &Context, server: &Server) -> (String, u64, Option<u64>) {
     let own = context.stops.in_flight.attempts_at(&server.name);
     let reported = match server.role {
         Role::Service => Some(own),
--- a/serving/src/modules/orders.rs
+++ b/serving/src/modules/orders.rs
@@ -1,4 +1,7 @@
-//! Orders to backend servers, given by one holder of the server's lock at a time.
+//! Orders to backend servers.
+//!
+//! An order is given by the holder of the server's lock in the store. The revision of the lock is the
+//! order's fencing number, by which a server can refuse the orders of earlier holders.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,17 +19,17 @@
 /// Prefix of the keys of the locks, one for each backend server.
 const PREFIX: &str = "orders/";
 
-/// Pause before the lock that another holds is asked for again.
+/// Pause between two requests for a lock that was not acquired.
 const LOCK_PAUSE: Duration = Duration::from_millis(250);
 
-/// The state that a server shall end in; what is absent stays as it is.
+/// The state that a server is ordered into; absent values stay unchanged.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Desired {
-    /// Versions that shall be loaded.
+    /// Versions to be loaded.
     pub versions: Option<BTreeSet<String>>,
-    /// Role that the server shall have.
+    /// Role of the server.
     pub role: Option<String>,
-    /// Whether the server shall take no new work.
+    /// Whether the server accepts no new work.
     pub drain: Option<bool>,
 }
 
@@ -42,10 +45,10 @@
     }
 }
 
-/// Why a server did not come to be in the state that it was ordered into.
+/// Why a server did not reach the ordered state.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Error {
-    /// Another holder gave a newer order.
+    /// A later holder of the lock has given an order.
     #[snafu(display(
         "`{server}` has obeyed a newer order: look at its state, then order again if you still want to"
     ))]
@@ -53,42 +56,42 @@
         /// Name of the server.
         server: Arc<str>,
     },
-    /// The lock could not be had in time.
+    /// The lock could not be acquired in time.
     #[snafu(display(
         "the lock of `{server}` could not be had: {reason}; order again when the platform is back or the other holder is done"
     ))]
     NoLock {
         /// Name of the server.
         server: Arc<str>,
-        /// What happened.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The server did not come to be in the state.
+    /// The server is not known to have reached the state.
     #[snafu(display(
         "`{server}` did not come to be in the ordered state: {reason}; look at the server, then order again"
     ))]
     Failed {
         /// Name of the server.
         server: Arc<str>,
-        /// What happened last.
+        /// Cause of the last failure.
         reason: String,
     },
 }
 
-/// How orders reach a server.
+/// What is needed to give orders to a server.
 #[derive(Clone, Debug)]
 pub struct Dependencies<S, E> {
     /// The platform's store.
     pub store: S,
-    /// The adapter to the server.
+    /// The client of the servers.
     pub engine: E,
     /// The entry's clock.
     pub clock: Clock,
-    /// Bounds.
+    /// Limits of time and attempts.
     pub settings: Orders,
 }
 
-/// One order on its dependencies.
+/// One order in progress.
 struct Task<'a, S, E> {
     dependencies: &'a Dependencies<S, E>,
     server: &'a Server,
@@ -99,18 +102,20 @@
     reason: String,
 }
 
-/// Gives an order and returns the state in which the server then is. `enforced` says whether the
-/// server refuses old fencing numbers; the lock is asked for until `patience` has passed.
+/// Gives an order and returns the state that the server has reached.
+///
+/// `enforced` says whether the server refuses outdated fencing numbers. The lock is requested
+/// repeatedly until `lock_timeout` has passed, at least once.
 ///
 /// # Errors
 ///
-/// Returns why the server is not known to be in the state.
+/// Returns why the server is not known to have reached the state.
 pub async fn execute<S: Store, E: Engine>(
     dependencies: &Dependencies<S, E>,
     server: &Server,
     desired: &Desired,
     enforced: bool,
-    patience: Duration,
+    lock_timeout: Duration,
 ) -> Result<OrderState, Error> {
     let mut task = Task {
         dependencies,
@@ -121,7 +126,7 @@
         holder: Holder::new(dependencies.settings.policy, enforced),
         reason: "no order was sent".to_owned(),
     };
-    let deadline = dependencies.clock.now() + patience;
+    let deadline = dependencies.clock.now() + lock_timeout;
     let ending = task.run(deadline).await?;
     let state = task.end(ending.outcome).await;
     if ending.release {
@@ -131,7 +136,7 @@
 }
 
 impl<S: Store, E: Engine> Task<'_, S, E> {
-    /// Does what the holder says until it has ended.
+    /// Carries out the holder's actions until it has ended.
     async fn run(&mut self, deadline: Duration) -> Result<Ending, Error> {
         loop {
             let now = self.dependencies.clock.now();
@@ -155,7 +160,7 @@
         }
     }
 
-    /// Takes the lock, or waits a little while another holds it.
+    /// Requests the lock once; pauses if it was not acquired, or returns an error after the deadline.
     async fn acquire(&mut self, deadline: Duration) -> Result<(), Error> {
         match self.lock().await {
             Ok((fencing, until)) => {
@@ -174,9 +179,9 @@
         }
     }
 
-    /// Asks for the lock; returns its revision and until when its lease surely lasts.
+    /// Requests the lock; returns its revision and the time until which its lease is valid at least.
     async fn lock(&mut self) -> Result<(u64, Duration), String> {
-        let asked = self.dependencies.clock.now();
+        let requested_at = self.dependencies.clock.now();
         let key = format!("{PREFIX}{}", self.server.name);
         let duration = self.dependencies.settings.lease();
         let lease = self.dependencies.store.grant(duration).await;
@@ -188,25 +193,27 @@
             .await;
         let fencing = match put {
             Ok(fencing) => Ok(fencing),
-            Err(platform::Error::Lost { reason }) => self.settle(&key).await.ok_or(reason),
+            Err(platform::Error::Lost { reason }) => {
+                self.own_lock_revision(&key).await.ok_or(reason)
+            }
             Err(platform::Error::Conflict { .. }) => Err("another holds it".to_owned()),
             Err(error) => Err(error.to_string()),
         };
         match fencing {
             Ok(fencing) => {
                 self.lease = Some(lease);
-                Ok((fencing, asked + duration))
+                Ok((fencing, requested_at + duration))
             }
             Err(reason) => {
-                // What cannot be revoked runs out.
+                // A lease that cannot be revoked expires.
                 let _ = self.dependencies.store.revoke(lease).await;
                 Err(reason)
             }
         }
     }
 
-    /// Returns the revision of the lock if it turns out to be this holder's.
-    async fn settle(&self, key: &str) -> Option<u64> {
+    /// Reads the lock after a lost answer; returns its revision if this holder has it.
+    async fn own_lock_revision(&self, key: &str) -> Option<u64> {
         let item = self.dependencies.store.get(key).await.ok()??;
         (item.value == self.token).then_some(item.revision)
     }
@@ -256,15 +263,15 @@
         }
     }
 
-    /// Gives the lock up.
+    /// Releases the lock.
     async fn release(&mut self) {
         if let Some(lease) = self.lease.take() {
-            // What cannot be revoked runs out.
+            // A lease that cannot be revoked expires.
             let _ = self.dependencies.store.revoke(lease).await;
         }
     }
 
-    /// Returns what came of the order.
+    /// Returns the result of the order.
     async fn end(&mut self, outcome: Outcome) -> Result<OrderState, Error> {
         let server = Arc::clone(&self.server.name);
         let state = match outcome {
