--- a/serving/src/configs.rs
+++ b/serving/src/configs.rs
@@ -1,7 +1,7 @@
-//! Checked settings of an entry, with their defaults.
+//! Validated settings of an entry, with their defaults.
 //!
-//! [`Settings::load`] reads a TOML file into the messages of the schema and checks them; each
-//! section has a module of its own that holds its defaults.
+//! [`Settings::load`] parses a TOML file into the types of the schema and validates them. Each section
+//! has a module of its own with its defaults.
 
 use std::fs;
 use std::path::Path;
@@ -26,7 +26,7 @@
 
 pub use value::Problem;
 
-/// Why settings were refused.
+/// Why settings were rejected.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The file cannot be read.
@@ -37,7 +37,7 @@
         /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is not TOML, or holds a key that no setting has.
+    /// The file is not valid TOML, or contains an unknown key.
     #[snafu(display("{file}: {source}see docs/SETTINGS.md for the keys of each section"))]
     Syntax {
         /// Path of the file.
@@ -55,10 +55,10 @@
     },
 }
 
-/// Checked settings of one entry instance.
+/// Validated settings of one entry instance.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Who this entry is and where it stands.
+    /// Name and location of this entry.
     pub entry: entry::Entry,
     /// Addresses that this entry listens on.
     pub listen: listen::Listen,
@@ -66,9 +66,9 @@
     pub platform: platform::Platform,
     /// Keys of callers, operators, peers and resume tokens.
     pub keys: keys::Keys,
-    /// Bounds on callers' requests.
+    /// Limits on callers' requests.
     pub callers: callers::Callers,
-    /// How generations are followed and resumed.
+    /// How generations are monitored, buffered and resumed.
     pub generation: generation::Generation,
     /// How requests are admitted to backend servers.
     pub admission: admission::Admission,
@@ -87,11 +87,11 @@
 }
 
 impl Settings {
-    /// Reads and checks the settings in a file.
+    /// Reads and validates the settings in a file.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong, with the file, the key, the value and the remedy.
+    /// Returns the first problem, with the file, the key, the value and the remedy.
     pub fn load(path: &Path) -> Result<Self, Error> {
         let file = path.display().to_string();
         let text = fs::read_to_string(path).context(ReadSnafu {
@@ -100,11 +100,11 @@
         Self::parse(&text, &file)
     }
 
-    /// Checks settings in TOML; `file` names them in errors.
+    /// Validates settings in TOML; errors name `file` as their source.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong, with the file, the key, the value and the remedy.
+    /// Returns the first problem, with the file, the key, the value and the remedy.
     pub fn parse(text: &str, file: &str) -> Result<Self, Error> {
         let raw: raw::Settings = toml::from_str(text)
             .map_err(Box::new)
@@ -132,13 +132,13 @@
             peers: raw.peers.unwrap_or_default().try_into()?,
             log: raw.log.unwrap_or_default().try_into()?,
         };
-        settings.reachable()
+        settings.check_reachable()
     }
 }
 
 impl Settings {
-    /// Refuses a peers' port that the other entries are not told how to reach.
-    fn reachable(self) -> Result<Self, Problem> {
+    /// Rejects a peers' port on an unspecified address without an address to advertise to peers.
+    fn check_reachable(self) -> Result<Self, Problem> {
         let listen = self.listen.peers;
         if listen.ip().is_unspecified() && self.peers.advertise.is_none() {
             let remedy = "name an IP number of this instance, or set `peers.advertise` to one";
--- a/serving/src/configs/admission.rs
+++ b/serving/src/configs/admission.rs
@@ -14,19 +14,20 @@
 pub struct Admission {
     /// Part of an engine's memory that is never reserved, in percent.
     pub headroom_percent: u64,
-    /// Part of an engine's memory that entries use without a grant, in percent.
+    /// Part of an engine's usable memory that entries may use without a grant, in percent.
     pub base_percent: u64,
-    /// Most entries at once, replaced ones included, among which that part is divided.
+    /// Largest number of entries at a time, including replaced ones, among which `base_percent` is
+    /// divided.
     pub entries: usize,
     /// Part of an engine's memory by which this entry's grant grows, in percent.
     pub grant_percent: u64,
-    /// Calls that this entry may have at one instance of a plain service.
+    /// Largest number of this entry's concurrent calls at one instance of a plain service.
     pub service_calls: usize,
-    /// Requests that may wait in this entry.
+    /// Largest number of requests that wait for admission in this entry.
     pub waiting: usize,
-    /// How long granted memory lies idle before it is returned.
+    /// How long granted memory stays unused before it is returned.
     pub idle_timeout: Duration,
-    /// How long an entry is off the instance list before others take its grants.
+    /// How long an entry is absent from the instance list before others reclaim its grants.
     pub reclaim_grace: Duration,
 }
 
@@ -46,8 +47,8 @@
 }
 
 impl Admission {
-    /// Returns what this entry may hold of an engine's memory without a grant, and what all entries
-    /// together may be granted, in tokens.
+    /// Returns how much of an engine's memory this entry may use without a grant, and how much may be
+    /// granted to all entries together, in tokens.
     #[must_use]
     pub fn memory(&self, memory_tokens: u64) -> (u64, u64) {
         let usable = memory_tokens * (100 - self.headroom_percent) / 100;
@@ -105,7 +106,7 @@
     }
 }
 
-/// Returns a percentage that leaves something of the whole.
+/// Returns a percentage up to `PERCENT_LIMIT`.
 fn percent(key: &'static str, value: Option<u64>, default: u64) -> Result<u64, Problem> {
     match value {
         None => Ok(default),
--- a/serving/src/configs/callers.rs
+++ b/serving/src/configs/callers.rs
@@ -1,4 +1,4 @@
-//! Bounds on callers' requests.
+//! Limits on callers' requests.
 
 use std::time::Duration;
 
@@ -13,13 +13,13 @@
     pub body_limit: usize,
     /// Largest header section of a request, in bytes.
     pub header_limit: usize,
-    /// Longest time in which a caller must have sent its request.
+    /// Time limit for receiving a caller's request.
     pub request_timeout: Duration,
-    /// Most callers' connections open at once.
+    /// Largest number of open connections from callers.
     pub connections: usize,
-    /// Longest time until the whole answer has been given.
+    /// Time limit for the complete answer.
     pub answer_timeout: Duration,
-    /// How long a caller may read nothing of its answer before its connection is cut.
+    /// How long a caller may read nothing of its answer before its connection is closed.
     pub write_stall_timeout: Duration,
 }
 
--- a/serving/src/configs/entry.rs
+++ b/serving/src/configs/entry.rs
@@ -1,4 +1,4 @@
-//! Who an entry is and where it stands.
+//! Name and location of an entry.
 
 use std::sync::Arc;
 
--- a/serving/src/configs/generation.rs
+++ b/serving/src/configs/generation.rs
@@ -1,4 +1,4 @@
-//! How generations are followed and resumed.
+//! How generations are monitored, buffered and resumed.
 
 use std::time::Duration;
 
@@ -9,21 +9,22 @@
 /// Section `[generation]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Generation {
-    /// Shortest silence that ends an attempt.
+    /// Lower limit of the silence timeout of an attempt.
     pub silence_floor: Duration,
-    /// Longest silence that is borne before an attempt ends.
+    /// Upper limit of the silence timeout of an attempt.
     pub silence_ceiling: Duration,
-    /// Most attempts in a row that end without a new token.
+    /// Largest number of consecutive attempts that end without a new token.
     pub attempts: usize,
-    /// Text held for one reader before back-pressure starts, in bytes.
+    /// Text buffered for one reader before back-pressure starts, in bytes.
     pub buffered_bytes: usize,
-    /// Text held for all readers, in bytes; above it the largest idle reader's is given up.
+    /// Text buffered for all readers, in bytes; above it, the text of the idle reader with the largest
+    /// buffer is discarded.
     pub held_limit: usize,
-    /// How long a full reader holds its engine before the generation is parked.
+    /// How long a reader's full buffer may block the engine before the generation is parked.
     pub park_after: Duration,
-    /// Longest wait for the first token of an attempt while the engine answers.
+    /// Longest wait for the first token of an attempt while the engine answers probes.
     pub first_token_timeout: Duration,
-    /// How long a resume token can be used.
+    /// How long a resume token is valid.
     pub resume_token_lifetime: Duration,
 }
 
@@ -81,13 +82,13 @@
                 default.resume_token_lifetime,
             )?,
         };
-        generation.consistent()
+        generation.check_consistency()
     }
 }
 
 impl Generation {
-    /// Refuses values that contradict each other.
-    fn consistent(self) -> Result<Self, Problem> {
+    /// Rejects values that contradict each other.
+    fn check_consistency(self) -> Result<Self, Problem> {
         if self.silence_floor > self.silence_ceiling {
             let value = humantime::format_duration(self.silence_floor);
             return Err(value::invalid(
--- a/serving/src/configs/keys.rs
+++ b/serving/src/configs/keys.rs
@@ -9,15 +9,15 @@
 
 use super::value::{self, Problem};
 
-/// Shortest key, in bytes.
-const SHORTEST_KEY: usize = 8;
+/// Shortest accepted key, in bytes.
+const MIN_KEY_LENGTH: usize = 8;
 
-/// A secret that is never printed.
+/// A secret whose `Debug` output hides its value.
 #[derive(Clone, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Secret(Arc<str>);
 
 impl Secret {
-    /// Returns a secret; meant for tests and embedded entries.
+    /// Returns a secret without checking it, for tests and embedded entries.
     #[must_use]
     pub fn new(secret: &str) -> Self {
         Self(Arc::from(secret))
@@ -29,7 +29,8 @@
         self.0.as_bytes()
     }
 
-    /// Returns whether `candidate` is the secret, in a time that does not tell how much of it is.
+    /// Returns whether `candidate` equals the secret. The time taken does not reveal how much of it
+    /// matches.
     #[must_use]
     pub fn matches(&self, candidate: &str) -> bool {
         let pairs = self.0.bytes().zip(candidate.bytes());
@@ -64,8 +65,8 @@
         self.callers.get(&Secret::new(key)).cloned()
     }
 
-    /// Refuses keys that would open another port as well.
-    fn distinct(self) -> Result<Self, Problem> {
+    /// Rejects a key that is used for more than one purpose.
+    fn check_distinct(self) -> Result<Self, Problem> {
         let remedy = "give callers, operators, peers and resume tokens keys of their own";
         let shared = [&self.operators, &self.peers, &self.resume];
         let keys = ["keys.operators", "keys.peers", "keys.resume"];
@@ -88,11 +89,11 @@
             peers: key("keys.peers", raw.peers)?,
             resume: key("keys.resume", raw.resume)?,
         };
-        keys.distinct()
+        keys.check_distinct()
     }
 }
 
-/// Reads the callers' keys: a TOML table of client account to key.
+/// Reads the callers' keys from a TOML table that maps client accounts to keys.
 fn callers(secret: Option<raw::Secret>) -> Result<BTreeMap<Secret, Arc<str>>, Problem> {
     const KEY: &str = "keys.callers";
     let text = read(KEY, secret)?;
@@ -102,7 +103,7 @@
     let count = accounts.len();
     let keys: BTreeMap<Secret, Arc<str>> = accounts
         .into_iter()
-        .filter(|(_, key)| key.len() >= SHORTEST_KEY)
+        .filter(|(_, key)| key.len() >= MIN_KEY_LENGTH)
         .map(|(account, key)| (Secret::new(&key), Arc::from(account)))
         .collect();
     if keys.is_empty() || keys.len() < count {
@@ -115,7 +116,7 @@
 fn key(name: &'static str, secret: Option<raw::Secret>) -> Result<Secret, Problem> {
     let text = read(name, secret)?;
     let text = text.trim();
-    if text.len() < SHORTEST_KEY {
+    if text.len() < MIN_KEY_LENGTH {
         return Err(value::invalid(
             name,
             "(secret)",
--- a/serving/src/configs/listen.rs
+++ b/serving/src/configs/listen.rs
@@ -29,23 +29,23 @@
             peers: value::address("listen.peers", raw.peers)?,
             metrics: value::address("listen.metrics", raw.metrics)?,
         };
-        listen.distinct()
+        listen.check_distinct()
     }
 }
 
 impl Listen {
-    /// Refuses two uses of one address.
-    fn distinct(self) -> Result<Self, Problem> {
-        let uses = [self.callers, self.operators, self.peers, self.metrics];
+    /// Rejects an address that is used twice, unless its port is 0.
+    fn check_distinct(self) -> Result<Self, Problem> {
+        let addresses = [self.callers, self.operators, self.peers, self.metrics];
         let keys = [
             "listen.callers",
             "listen.operators",
             "listen.peers",
             "listen.metrics",
         ];
-        for (index, address) in uses.iter().enumerate() {
-            let twice = address.port() != 0 && uses[..index].contains(address);
-            if twice {
+        for (index, address) in addresses.iter().enumerate() {
+            let duplicate = address.port() != 0 && addresses[..index].contains(address);
+            if duplicate {
                 return Err(value::invalid(
                     keys[index],
                     &address,
--- a/serving/src/configs/log.rs
+++ b/serving/src/configs/log.rs
@@ -1,4 +1,4 @@
-//! Logs.
+//! Logging and trace sampling.
 
 use log::LevelFilter;
 use medlarfall_schema::settings as raw;
@@ -10,7 +10,7 @@
 pub struct Log {
     /// Least severe level that is written.
     pub level: LevelFilter,
-    /// Of requests without a trace context, one in this many is traced.
+    /// One in this many of the requests without a trace context is traced.
     pub trace_every: u64,
 }
 
--- a/serving/src/configs/moves.rs
+++ b/serving/src/configs/moves.rs
@@ -9,7 +9,7 @@
 
 use super::value::{self, Problem};
 
-/// Default pause between two looks at the evidence.
+/// Default pause between two evaluations of the evidence.
 const INTERVAL: Duration = Duration::from_millis(50);
 
 /// Section `[moves]`.
@@ -17,9 +17,9 @@
 pub struct Moves {
     /// Stages of the moves that are started at this entry.
     pub plan: Plan,
-    /// What is tolerated of a new version.
+    /// How much worse than the old version a new one may be.
     pub tolerance: Tolerance,
-    /// Pause between two looks at the evidence.
+    /// Pause between two evaluations of the evidence.
     pub interval: Duration,
 }
 
@@ -75,13 +75,13 @@
     }
 }
 
-/// Returns the shares of the stages, which must grow up to the whole.
+/// Returns the shares of the stages, which must increase up to `FULL_SHARE`.
 fn shares(shares: Vec<u64>, default: Vec<u64>) -> Result<Vec<u64>, Problem> {
     if shares.is_empty() {
         return Ok(default);
     }
-    let grows = shares.windows(2).all(|pair| pair[0] < pair[1]);
-    if !grows || shares[0] == 0 || shares.last() != Some(&FULL_SHARE) {
+    let increasing = shares.windows(2).all(|pair| pair[0] < pair[1]);
+    if !increasing || shares[0] == 0 || shares.last() != Some(&FULL_SHARE) {
         return Err(value::invalid(
             "moves.shares",
             &format!("{shares:?}"),
@@ -91,7 +91,7 @@
     Ok(shares)
 }
 
-/// Returns the chance of a false alarm from the number of moves in which one is borne.
+/// Returns the probability of a false alarm, given as one in this many moves.
 fn false_alarm(one_in: Option<u64>, default: f64) -> Result<f64, Problem> {
     let one_in = one_in.map(|one_in| value::count("moves.false_alarm_one_in", Some(one_in), 1));
     let one_in = one_in.transpose()?.map(u32::try_from);
--- a/serving/src/configs/orders.rs
+++ b/serving/src/configs/orders.rs
@@ -7,14 +7,14 @@
 
 use super::value::{self, Problem};
 
-/// Leases of locks last this many timeouts of an order: one to wait out an older order, one to send
-/// the own one, and two for what the store and the server take.
+/// Length of a lock's lease in timeouts of an order: one until an older order can no longer take
+/// effect, one to send the own order, and two for the delays of the store and the server.
 const LEASE_TIMEOUTS: u32 = 4;
 
 /// Section `[orders]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Orders {
-    /// Bounds on orders.
+    /// Limits of time and attempts.
     pub policy: Policy,
 }
 
--- a/serving/src/configs/peers.rs
+++ b/serving/src/configs/peers.rs
@@ -1,4 +1,4 @@
-//! The other entries.
+//! Addresses of the other entries, and of this one for them.
 
 use std::net::SocketAddr;
 
@@ -9,9 +9,9 @@
 /// Section `[peers]`.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
-    /// Peers' ports at which other entries may be found.
+    /// Addresses of other entries' peers' ports, tried to join them.
     pub seeds: Vec<SocketAddr>,
-    /// Address at which the others reach this entry, if it is not the one it listens on.
+    /// Address at which peers reach this entry, if it differs from the one it listens on.
     pub advertise: Option<SocketAddr>,
 }
 
--- a/serving/src/configs/services.rs
+++ b/serving/src/configs/services.rs
@@ -6,33 +6,34 @@
 
 use super::value::{self, Problem};
 
-/// Largest kept answer that fits a value of the store, however it is written, in bytes.
-const KEPT_CEILING: usize = 256 << 10;
+/// Largest kept answer that fits into a value of the store in any encoding, in bytes.
+const KEPT_ANSWER_CEILING: usize = 256 << 10;
 
 /// Section `[services]`.
 #[derive(Clone, Copy, Debug)]
 pub struct Services {
     /// Timeout of one attempt at a call to a plain service.
     pub call_timeout: Duration,
-    /// Most attempts for one call, where it may be tried again at all.
+    /// Largest number of attempts at one call, if it may be retried at all.
     pub attempts: usize,
-    /// Longest time for one call with all its attempts, where the caller names none.
+    /// Time limit for one call with all its attempts, unless the caller sets one.
     pub deadline: Duration,
-    /// Retries allowed for each hundred successes.
+    /// Retries allowed per hundred successes.
     pub retry_percent: usize,
     /// Largest answer of a plain service, in bytes.
     pub answer_limit: usize,
-    /// Most bytes of bodies and answers that are held at once.
+    /// Memory limit for buffered bodies and answers, in bytes.
     pub held_limit: usize,
-    /// Longest time in which a caller must have read an answer.
+    /// Time limit for a caller to read an answer.
     pub read_timeout: Duration,
-    /// Age over which callers' identifiers are refused.
+    /// Age above which callers' identifiers are refused.
     pub claim_retention: Duration,
-    /// Largest difference between the clocks of callers and entries.
+    /// Largest accepted difference between the clocks of callers and entries.
     pub clock_skew: Duration,
-    /// Longest time between asking for a claim and sending, without reading the claim again.
+    /// Time after requesting a claim within which the call may be sent without reading the claim
+    /// again.
     pub claim_trust: Duration,
-    /// Largest answer that is kept for retries, in bytes.
+    /// Largest answer that is stored for retries, in bytes.
     pub kept_answer_limit: usize,
 }
 
@@ -114,7 +115,7 @@
                 "write at least as much as `services.answer_limit`",
             ));
         }
-        if self.kept_answer_limit > KEPT_CEILING {
+        if self.kept_answer_limit > KEPT_ANSWER_CEILING {
             return Err(value::invalid(
                 "services.kept_answer_limit",
                 &format!("{} bytes", self.kept_answer_limit),
--- a/serving/src/configs/stops.rs
+++ b/serving/src/configs/stops.rs
@@ -12,9 +12,9 @@
 pub struct Stops {
     /// When generations are moved off a leaving server.
     pub policy: Policy,
-    /// Longest time that an entry that stops waits for its requests.
+    /// Longest time that a stopping entry waits for its requests in progress.
     pub entry_window: Duration,
-    /// Pause between two looks at whether a leaving server was told to drain.
+    /// Pause between two checks whether a leaving server has been ordered to drain.
     pub drain_interval: Duration,
 }
 
--- a/serving/src/configs/value.rs
+++ b/serving/src/configs/value.rs
@@ -1,4 +1,4 @@
-//! Parsing of single values: durations, sizes, addresses and names.
+//! Parsing and validation of single values: names, addresses, durations, sizes and counts.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,25 +7,25 @@
 use bytesize::ByteSize;
 use snafu::Snafu;
 
-/// What is wrong with one value.
+/// A problem with one value.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Problem {
-    /// A value that has no default is not set.
+    /// A required value is not set.
     #[snafu(display("`{key}` is not set: {remedy}"))]
     Missing {
         /// Section and name of the setting.
         key: &'static str,
-        /// What to write.
+        /// Instruction for the operator.
         remedy: &'static str,
     },
-    /// A value cannot be used.
+    /// A value is malformed or out of range.
     #[snafu(display("`{key} = {value}` cannot be used: {remedy}"))]
     Invalid {
         /// Section and name of the setting.
         key: &'static str,
         /// The value as written.
         value: String,
-        /// What to write instead.
+        /// Instruction for the operator on what to write instead.
         remedy: &'static str,
     },
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns a name, which must be set and not empty.
+/// Returns a required name, which must not be empty.
 pub(super) fn name(key: &'static str, value: Option<String>) -> Result<Arc<str>, Problem> {
     let remedy = "write a name of letters, digits, `-` and `.`";
     let value = value.ok_or(Problem::Missing { key, remedy })?;
@@ -55,7 +55,7 @@
     Ok(Arc::from(value))
 }
 
-/// Returns an address, which must be set.
+/// Returns a required address.
 pub(super) fn address(key: &'static str, value: Option<String>) -> Result<SocketAddr, Problem> {
     let remedy = "write an IP number and a port, such as \"10.0.0.7:8080\"";
     let value = value.ok_or(Problem::Missing { key, remedy })?;
