--- a/serving/src/modules/operators/stops.rs
+++ b/serving/src/modules/operators/stops.rs
@@ -19,7 +19,7 @@
 /// The stream of a stop's progress that an operator watches.
 pub(super) type Progress = ReceiverStream<Result<rpc::StopProgress, Status>>;
 
-/// Pause between two polls of the requests that hold a stop.
+/// Pause between two polls of the requests that a stop waits for.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Time without any request in progress after which a stop counts as finished.
@@ -204,7 +204,7 @@
     }
 }
 
-/// Returns the number of requests that hold a stop, or nothing if a server's load could not be read.
+/// Returns the number of requests that a stop waits for, or nothing if a load could not be read.
 ///
 /// After the date (`date_passed`), a server that does not answer counts as stopped.
 fn remaining_requests(progress: &rpc::StopProgress, date_passed: bool) -> Option<u64> {
@@ -216,7 +216,7 @@
     known.then(|| requests.sum())
 }
 
-/// Returns the current progress of a stop: the requests that hold it, by server and entry.
+/// Returns the current progress of a stop: the requests that it waits for, by server and entry.
 async fn read_progress(context: &Context, target: &Target, planned: &Planned) -> rpc::StopProgress {
     let directory = Arc::clone(&context.directory.borrow());
     let servers = directory
