--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -9,7 +9,7 @@
 use medlarfall_schema::operator::OrderRequest;
 use medlarfall_serving::backend::http::Client;
 use medlarfall_serving::backend::{Engine as _, Order, OrderResponse, Server};
-use medlarfall_serving::modules::orders::{self, Desired, Way};
+use medlarfall_serving::modules::orders::{self, Dependencies, Desired};
 use medlarfall_serving::platform;
 use medlarfall_serving::platform::Store as _;
 use medlarfall_standin::engine::Config;
@@ -46,14 +46,14 @@
 }
 
 /// Returns what the entry needs to give orders, with at most three attempts per order.
-fn dependencies(cluster: &Cluster) -> Way<platform::http::Client, Client> {
+fn dependencies(cluster: &Cluster) -> Dependencies<platform::http::Client, Client> {
     let context = &cluster.entries[0].context;
     let mut settings = context.settings.orders;
     settings.policy = Policy {
         order_timeout: ORDER_TIMEOUT,
         attempts: 3,
     };
-    Way {
+    Dependencies {
         settings,
         ..context.orders()
     }
@@ -106,9 +106,9 @@
     let cluster = cluster(true).await;
     let server = server(&cluster);
     let dependencies = dependencies(&cluster);
-    let first = orders::give(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
+    let first = orders::execute(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
     let old = first.expect("the order is carried out").fencing;
-    let second = orders::give(&dependencies, &server, &drain(false), true, LOCK_TIMEOUT).await;
+    let second = orders::execute(&dependencies, &server, &drain(false), true, LOCK_TIMEOUT).await;
     let newer = second.expect("the order is carried out").fencing;
     assert!(newer > old, "{newer} > {old}");
     let late = Order {
@@ -142,7 +142,8 @@
             .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
             .await
             .expect("the lock");
-        let given = orders::give(&dependencies, &server, &drain(true), fencing, LOCK_TIMEOUT).await;
+        let given =
+            orders::execute(&dependencies, &server, &drain(true), fencing, LOCK_TIMEOUT).await;
         let state = given.expect("the order is carried out");
         assert!(state.draining);
         assert!(state.fencing > held, "{} > {held}", state.fencing);
@@ -161,7 +162,7 @@
         .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
         .await
         .expect("the lock");
-    let given = orders::give(&dependencies, &server, &drain(true), false, Duration::ZERO).await;
+    let given = orders::execute(&dependencies, &server, &drain(true), false, Duration::ZERO).await;
     let message = given.expect_err("another holder has the lock").to_string();
     assert!(message.contains("the other holder is done"), "{message}");
     let state = dependencies
@@ -182,7 +183,8 @@
             drop_answers: lost,
             ..Faults::default()
         });
-        let given = orders::give(&dependencies, &server, &drain(true), false, LOCK_TIMEOUT).await;
+        let given =
+            orders::execute(&dependencies, &server, &drain(true), false, LOCK_TIMEOUT).await;
         assert!(given.expect("the order is carried out").draining);
     }
 }
@@ -200,7 +202,8 @@
                     let desired = drain(index % 2 == 0);
                     let lock_timeout = Duration::from_secs(20);
                     let given =
-                        orders::give(&dependencies, &server, &desired, fencing, lock_timeout).await;
+                        orders::execute(&dependencies, &server, &desired, fencing, lock_timeout)
+                            .await;
                     given.map(|state| (state.fencing, state.draining, desired.drain))
                 })
             })
@@ -223,7 +226,7 @@
         .engine
         .lifecycle()
         .pause(Duration::from_mins(1));
-    let given = orders::give(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
+    let given = orders::execute(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
     let message = given.expect_err("the engine does not answer").to_string();
     assert!(message.contains("order again"), "{message}");
 }
--- a/serving/src/modules/peers.rs
+++ b/serving/src/modules/peers.rs
@@ -32,7 +32,7 @@
 use crate::configs::keys::Secret;
 use crate::context::Context;
 use crate::modules::moves;
-use crate::modules::operators::confirm::{self, Confirmation, Question};
+use crate::modules::operators::confirm::{self, Confirmation, Query};
 use crate::modules::replication::{
     DeclarationsMessage, DeclarationsResponse, InstancesMessage, InstancesResponse, Response,
 };
@@ -84,7 +84,7 @@
     /// Delivers the planned stops known to the caller and returns those known to the entry.
     async fn stops(known: Vec<Stop>) -> Vec<Stop>;
     /// Returns the entries at which a revision is in force.
-    async fn confirm(question: Question) -> Confirmation;
+    async fn confirm(question: Query) -> Confirmation;
 }
 
 /// Error of a call to a peer.
@@ -227,7 +227,7 @@
 
 impl Peer for Handler {
     async fn stops(self, _: context::Context, known: Vec<Stop>) -> Vec<Stop> {
-        self.context.stops.take(known, self.context.clock);
+        self.context.stops.record(known, self.context.clock);
         self.context.stops.stored()
     }
 
@@ -236,7 +236,10 @@
     }
 
     async fn moved(self, _: context::Context, record: rollout::Record) {
-        self.context.moves.tell(moves::Message::Heard(record)).await;
+        self.context
+            .moves
+            .send(moves::Message::Received(record))
+            .await;
     }
 
     async fn claim(self, _: context::Context, claimer: Claimer, wait_ms: u64) -> Option<Status> {
@@ -268,8 +271,8 @@
         Response { loaded, message }
     }
 
-    async fn confirm(self, _: context::Context, question: Question) -> Confirmation {
-        confirm::answer(&self.context, question).await
+    async fn confirm(self, _: context::Context, question: Query) -> Confirmation {
+        confirm::respond(&self.context, question).await
     }
 }
 
