--- a/coordination/src/balance.rs
+++ b/coordination/src/balance.rs
@@ -12,7 +12,7 @@
 use crate::shared_load::Count;
 
 /// Weight of a new outcome in the moving average of a server's failure rate. With 1/8, three
-/// failures in a row count for more than a steady failure rate of one third.
+/// failures in a row raise it from 0 to about one third.
 const OUTCOME_WEIGHT: f64 = 1.0 / 8.0;
 
 /// Load, in requests, that a failure rate of 1 adds to a server.
--- a/coordination/src/claim.rs
+++ b/coordination/src/claim.rs
@@ -40,8 +40,8 @@
 /// Bounds on one call.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest time from the write or read that confirms a claim to the first byte; after it the
-    /// claim is read again.
+    /// Longest time from the start of the write or read that confirms a claim to the first byte;
+    /// after it the claim is read again.
     pub confirmation_ttl: Duration,
     /// Highest number of writes, reads and status queries before the call is abandoned.
     pub rounds: u32,
@@ -229,7 +229,8 @@
         Action::Prepare
     }
 
-    /// Handles a write refused because the store holds `held` under the key.
+    /// Decides how to continue from `held`, the value that the store holds under the key after a
+    /// write that was refused or had no response.
     fn handle_existing(&mut self, held: Option<Held>, now: Duration) -> Action {
         match held {
             None => self.put(0, now),
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Handles a read that followed a write without a response: the write is repeated if the key is
+    /// Handles the read that follows a write without a response: repeats the write if the key is
     /// unchanged.
     fn resolve_lost_write(&mut self, expected: u64, held: Option<Held>, now: Duration) -> Action {
         let unchanged = held.as_ref().map_or(0, |held| held.revision) == expected;
--- a/coordination/src/evidence.rs
+++ b/coordination/src/evidence.rs
@@ -38,8 +38,8 @@
 /// Maximum number of routes with their own tests; further routes count in the overall tests only.
 const MAX_ROUTES: usize = 8;
 
-/// Tests of a stage of a move: overall and for each route, one test of failures and, for each
-/// duration measure, one per quantile.
+/// Number of tests at a stage of a move: overall and for each route, one test of failures and, for
+/// each duration measure, one per quantile.
 const TESTS_PER_STAGE: usize = (MAX_ROUTES + 1) * (1 + (Measure::ALL.len() - 1) * QUANTILES.len());
 
 /// Recent baseline durations from which the slowness bounds are computed.
--- a/coordination/src/fair_queue.rs
+++ b/coordination/src/fair_queue.rs
@@ -13,8 +13,8 @@
 //!     queue.push(Item { account: "large".into(), weight: 1, priority: 0, cost: 10, value: number });
 //! }
 //! queue.push(Item { account: "small".into(), weight: 1, priority: 0, cost: 10, value: 9 });
-//! let order: Vec<i32> = std::iter::from_fn(|| queue.pop(|_| true)).map(|item|
-//! item.value).collect(); assert_eq!(order, [0, 9, 1, 2]);
+//! let order = std::iter::from_fn(|| queue.pop(|_| true)).map(|item| item.value);
+//! assert_eq!(order.collect::<Vec<i32>>(), [0, 9, 1, 2]);
 //! ```
 
 use std::cmp::Reverse;
--- a/coordination/src/fencing.rs
+++ b/coordination/src/fencing.rs
@@ -71,11 +71,11 @@
 /// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The server is in the ordered state.
+    /// The server is in the requested state.
     Achieved,
     /// The server has carried out an order of a newer holder.
     Superseded,
-    /// The server did not reach the ordered state.
+    /// The server did not reach the requested state.
     Failed,
 }
 
@@ -110,7 +110,7 @@
     End(Outcome),
 }
 
-/// State machine of one holder that brings a server into one ordered state.
+/// State machine of one holder, whose order brings a server into a requested state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Holder {
     policy: Policy,
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Returns the order, or a new acquisition if the lease may expire before the order takes
-    /// effect.
+    /// Returns the order, or the end if all attempts are used. If the server ignores fencing numbers
+    /// and the lease may expire before the order takes effect, returns a new acquisition.
     fn order(&mut self, lock: Lock, now: Duration) -> Action {
         if self.sent >= self.policy.attempts {
             self.step = Step::End(Outcome::Failed);
@@ -185,7 +185,7 @@
             until,
             usable_at: now + wait,
         });
-        // An enforcing server must receive the new number even if it is already in the ordered
+        // An enforcing server must receive the new number even if it is already in the requested
         // state, because an older order may still be in flight.
         self.step = if self.enforced {
             Step::Order
@@ -194,8 +194,8 @@
         };
     }
 
-    /// Records whether the server was read to be in the ordered state, or nothing if it could not
-    /// be read.
+    /// Records the result of a read of the server: whether it is in the requested state, or nothing
+    /// if it could not be read.
     pub fn record_read(&mut self, in_state: Option<bool>) {
         self.step = match in_state {
             Some(true) => Step::End(Outcome::Achieved),
--- a/coordination/src/grants.rs
+++ b/coordination/src/grants.rs
@@ -92,7 +92,7 @@
 ///
 /// A holder is gone when its entry has been missing from the list, or has had a newer incarnation,
 /// for longer than a grace period. The grace period covers the delay of the list and the time for
-/// which engines continue requests whose reader is gone.
+/// which engines continue requests whose answers are no longer read.
 #[derive(Clone, Debug, Default)]
 pub struct Absences {
     absent_since: BTreeMap<Arc<str>, Duration>,
--- a/coordination/src/membership.rs
+++ b/coordination/src/membership.rs
@@ -51,10 +51,11 @@
 /// Highest number of members in the reply to a join of a member that was already known.
 const REJOIN_LIMIT: usize = 8;
 
-/// Members of the own failure domain that are sent to a contact in another one.
+/// Highest number of members of the entry's own failure domain that are sent to a contact in
+/// another one.
 const INTRODUCTION_LIMIT: usize = 2;
 
-/// Peers that are notified of a graceful leave.
+/// Number of peers that are notified of a graceful leave.
 const LEAVE_RECIPIENTS: usize = 5;
 
 /// The identity of an entry, as it is sent to other entries.
@@ -100,8 +101,8 @@
     Ping(u64),
     /// Acknowledges the ping with this sequence number.
     Ack(u64),
-    /// Requests a ping of the member at an address; the acknowledgement is forwarded under this
-    /// sequence number.
+    /// Requests a ping of the member at this address; its acknowledgement is forwarded to the
+    /// requester under this sequence number.
     Relay(u64, SocketAddr),
     /// Requests the members of the failure domain.
     Join,
@@ -213,7 +214,7 @@
         &self.me
     }
 
-    /// Returns the members of the own failure domain that are not known to be down.
+    /// Returns the other members of this entry's failure domain that are not known to be down.
     pub fn neighbours(&self) -> impl Iterator<Item = &Member> {
         self.table.up(true).map(|known| &known.member)
     }
@@ -228,7 +229,7 @@
         self.table.down().map(|known| &known.member)
     }
 
-    /// Returns what is known of a member.
+    /// Returns the last known state of a member.
     #[must_use]
     pub fn state(&self, name: &str) -> Option<State> {
         self.table.get(name).map(|known| known.state)
@@ -303,7 +304,7 @@
             .collect()
     }
 
-    /// Applies an update; an update on this entry itself may have to be refuted.
+    /// Applies an update on another member, or refutes one on this entry if it is wrong.
     fn apply_update(&mut self, update: Update, now: Duration) {
         if update.member.name == self.me.name {
             return self.refute(&update);
--- a/coordination/src/membership/probe.rs
+++ b/coordination/src/membership/probe.rs
@@ -31,8 +31,8 @@
 }
 
 impl Members {
-    /// Pings one member, and every [`Config::join_periods`](super::Config::join_periods) sends a
-    /// join.
+    /// Pings one member. Also sends a join every
+    /// [`Config::join_periods`](super::Config::join_periods), and while no neighbour is up.
     pub(super) fn begin_period(&mut self, now: Duration, sends: &mut Vec<Send>) {
         let joins = self.periods.is_multiple_of(self.config.join_periods);
         self.periods += 1;
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Processes an acknowledgement, of an own probe or of a ping on behalf of another entry.
+    /// Processes the acknowledgement of this entry's probe, or forwards that of a ping on behalf of
+    /// another entry.
     pub(super) fn acknowledged(&mut self, sequence: u64) -> Vec<Send> {
         let own = |probe: &Probe| probe.sequence == sequence;
         if self.probe.as_ref().is_some_and(own) {
@@ -135,8 +136,9 @@
         vec![self.to(&target, Kind::Ping(sequence))]
     }
 
-    /// Extends all deadlines by the time for which this entry itself was paused, so that it does
-    /// not suspect other members because of its own pause.
+    /// After a pause of this entry of at least one period, drops the current probe and extends all
+    /// deadlines by the pause, so that the entry does not suspect other members because of its own
+    /// pause.
     pub(super) fn compensate_own_pause(&mut self, now: Duration) {
         let last = self.last_tick.replace(now).unwrap_or(now);
         let pause = now.saturating_sub(last);
@@ -147,7 +149,7 @@
         self.table.postpone(pause);
     }
 
-    /// Returns a join to a seed that is not a known member, or to a random neighbour.
+    /// Returns a join to a seed at which no live member is known, or else to a random neighbour.
     fn join(&mut self) -> Option<Send> {
         let known = |address: &SocketAddr| {
             let member = self.table.at(*address);
--- a/coordination/src/membership/table.rs
+++ b/coordination/src/membership/table.rs
@@ -38,7 +38,7 @@
     }
 }
 
-/// The known members: those of the own failure domain, and contacts in others.
+/// The known members: those of the entry's own failure domain, and contacts in others.
 #[derive(Debug)]
 pub(super) struct Table {
     domain: Arc<str>,
@@ -72,7 +72,8 @@
         self.known.len()
     }
 
-    /// Returns the members that are not known to be down, in the own failure domain or in others.
+    /// Returns the members that are not known to be down: those of the entry's own failure domain if
+    /// `own` is true, otherwise the contacts in others.
     pub(super) fn up(&self, own: bool) -> impl Iterator<Item = &Known> {
         self.known
             .values()
@@ -105,7 +106,7 @@
     }
 
     /// Declares members dead whose suspicion has expired, removes members that have been down for
-    /// longer than the retention, and returns updates on the newly dead of the own failure domain.
+    /// the retention time, and returns updates on the newly dead of the entry's own failure domain.
     pub(super) fn expire(&mut self, now: Duration) -> Vec<Update> {
         let Config {
             suspicion,
--- a/coordination/src/planned_stop.rs
+++ b/coordination/src/planned_stop.rs
@@ -193,8 +193,8 @@
     f64::from(u32::try_from(hash >> 32).unwrap_or(u32::MAX)) / f64::from(u32::MAX)
 }
 
-/// Decides whether a stop has finished. Reports of the requests on a server are delayed, so that
-/// the count must stay zero for some time.
+/// Decides whether a stop has finished. Reports of the requests on a server are delayed, so their
+/// count must stay zero for some time.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Completion {
     settle: Duration,
@@ -202,7 +202,7 @@
 }
 
 impl Completion {
-    /// Returns the state of a stop that has finished once no request was observed for `settle`.
+    /// Returns the state of a stop that has finished once the count has been zero for `settle`.
     #[must_use]
     pub fn new(settle: Duration) -> Self {
         Self {
@@ -213,8 +213,8 @@
 
     /// Records at `now` how many requests delay the stop, or nothing if the count could not be
     /// read; returns whether the stop has finished.
-    pub fn observe(&mut self, now: Duration, held: Option<u64>) -> bool {
-        if held != Some(0) {
+    pub fn observe(&mut self, now: Duration, requests: Option<u64>) -> bool {
+        if requests != Some(0) {
             self.since = None;
             return false;
         }
--- a/coordination/src/revision.rs
+++ b/coordination/src/revision.rs
@@ -21,7 +21,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Number of buckets of keys whose hashes two ledgers compare.
+/// Number of buckets into which the keys are divided; two ledgers compare the hash of each bucket.
 pub const BUCKETS: usize = 32;
 
 /// A value at one revision of its key.
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Removes a key with its highest revision. Only for values that end and for which accepting an
-    /// old record again is harmless.
+    /// Removes a key with its highest revision, so that an old record of it is accepted again. To be
+    /// used only for values whose lifetime ends and for which this is harmless.
     pub fn forget(&mut self, key: &str) {
         if let Some(record) = self.held.remove(key) {
             self.toggle(&record);
--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -80,7 +80,7 @@
 /// A move of a service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Number of the move of this service; it increases with each move.
+    /// Sequence number of the move among those of the service.
     pub number: u64,
     /// Identifier that the operator gave.
     pub id: Arc<str>,
--- a/coordination/src/updates.rs
+++ b/coordination/src/updates.rs
@@ -24,7 +24,8 @@
 /// Size of a datagram's headers, in bytes.
 const HEADER_BYTES: usize = 28;
 
-/// Updates to send, each with the time at which it was last added by this entry.
+/// Updates to send, each with the time at which this entry itself last added it, or zero if it was
+/// received from another entry.
 #[derive(Clone, Debug)]
 pub struct Updates<T> {
     items: Vec<(T, Duration)>,
