--- a/coordination/tests/canary.rs
+++ b/coordination/tests/canary.rs
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn an_entry_that_does_not_know_the_order_s_age_sends_nothing_to_the_canary() {
+fn an_entry_that_does_not_know_the_age_of_the_order_sends_nothing_to_the_canary() {
     let mut entry = Canary::new(order(), BOUNDS, 0.0, false, START);
     assert_eq!(entry.assign(1, START), Some(Cohort::Baseline));
     assert!(!entry.conclude(START + Duration::from_secs(1)));
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_restarted_entry_takes_the_order_s_age_from_its_peers() {
+fn a_restarted_entry_takes_the_age_of_the_order_from_its_peers() {
     let mut peer = Canary::new(order(), BOUNDS, 0.5, true, START);
     peer.assign(2, START);
     let now = START + Duration::from_secs(10);
--- a/coordination/tests/claim.rs
+++ b/coordination/tests/claim.rs
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn a_retry_through_another_entry_gets_the_kept_answer() {
+fn a_retry_through_another_entry_gets_the_stored_answer() {
     let mut world = World::new();
     world.begin(0);
     run_to_completion(&mut world);
@@ -446,7 +446,7 @@
             world.kill(0);
         }),
         ("the claimer died", |world| world.kill(0)),
-        ("the claimer has forgotten", |world| {
+        ("the claimer evicted the call", |world| {
             world.input(0, Input::AnswerLost);
             for _ in 0..9 {
                 let sequence = world.ledgers[0].open().sequence;
--- a/coordination/tests/evidence.rs
+++ b/coordination/tests/evidence.rs
@@ -113,11 +113,16 @@
         ..GOOD
     };
     let cases = [
-        ("fails always", 0, fails(1.0), 12),
-        ("fails each second", 0, fails(0.5), 30),
-        ("fails each fourth", 0, fails(0.25), 80),
-        ("fails always, later", 500, fails(1.0), 30),
-        ("fails each fourth, at the whole", 1_200, fails(0.25), 120),
+        ("every request fails", 0, fails(1.0), 12),
+        ("every second request fails", 0, fails(0.5), 30),
+        ("every fourth request fails", 0, fails(0.25), 80),
+        ("every request fails, later", 500, fails(1.0), 30),
+        (
+            "every fourth request fails, at the last stage",
+            1_200,
+            fails(0.25),
+            120,
+        ),
         ("slow", 0, slow, 40),
         ("slow, later", 500, slow, 60),
     ];
--- a/coordination/tests/memory.rs
+++ b/coordination/tests/memory.rs
@@ -27,7 +27,7 @@
         seconds: u8,
         answer_lost: bool,
     },
-    Pass {
+    AdvanceTime {
         seconds: u8,
     },
 }
@@ -74,16 +74,16 @@
     }
 }
 
-/// Borrows from one entry for another; if the response is lost, only the lender records the loan.
+/// Borrows from one entry for another for a `term`, given by its start and duration; if the response is lost, only the lender records the loan.
 fn borrow(
     entries: &mut [Entry],
     from: usize,
     to: usize,
     tokens: u64,
-    until: (Duration, Duration),
+    term: (Duration, Duration),
     lost: bool,
 ) {
-    let (now, duration) = until;
+    let (now, duration) = term;
     let lender = &mut entries[from];
     let loan = lender.ledger.lend(lender.server, tokens, now, duration);
     let Some(loan) = loan.filter(|_| !lost && from != to) else {
@@ -144,10 +144,10 @@
                 answer_lost,
             } => {
                 let (from, to) = (usize::from(from) % ENTRIES, usize::from(to) % ENTRIES);
-                let until = (now, Duration::from_secs(seconds.into()));
-                borrow(&mut entries, from, to, tokens.into(), until, answer_lost);
+                let term = (now, Duration::from_secs(seconds.into()));
+                borrow(&mut entries, from, to, tokens.into(), term, answer_lost);
             }
-            Step::Pass { seconds } => {
+            Step::AdvanceTime { seconds } => {
                 now += Duration::from_secs(seconds.into());
                 for entry in &mut entries {
                     entry.end_expired(now);
--- a/coordination/tests/planned_stop.rs
+++ b/coordination/tests/planned_stop.rs
@@ -87,15 +87,15 @@
             let mut completion = Completion::new(Duration::from_millis(SETTLE));
             let mut now = 0;
             let mut idle_since = None;
-            for (pause, held) in observations {
+            for (pause, requests) in observations {
                 now += u64::from(*pause);
-                let held = held.map(|held| u64::from(held % 2));
-                idle_since = match held {
+                let requests = requests.map(|requests| u64::from(requests % 2));
+                idle_since = match requests {
                     Some(0) => Some(idle_since.unwrap_or(now)),
                     _ => None,
                 };
                 let expected = idle_since.is_some_and(|since| now - since >= SETTLE);
-                let finished = completion.observe(Duration::from_millis(now), held);
+                let finished = completion.observe(Duration::from_millis(now), requests);
                 assert_eq!(finished, expected);
             }
         });
--- a/coordination/tests/retry_budget.rs
+++ b/coordination/tests/retry_budget.rs
@@ -243,7 +243,7 @@
         let (fleet, given_up) = simulate(seed, |step| if step < 400 { 0.0 } else { 1.0 });
         let worst = fleet.worst();
         assert!(worst <= 1.0, "seed {seed}: {worst} of the limit");
-        assert!(given_up > 0, "seed {seed}: the limit was reached");
+        assert!(given_up > 0, "seed {seed}: the limit was not reached");
     }
 }
 
--- a/coordination/tests/updates.rs
+++ b/coordination/tests/updates.rs
@@ -52,7 +52,7 @@
 /// times a second. Its messages must use at most a quarter of its link.
 #[test]
 fn an_outage_leaves_most_of_a_narrow_link_to_requests() {
-    const FIND_BYTES: usize = 70;
+    const UPDATE_BYTES: usize = 70;
     const LINK_MBPS: u32 = 10;
     let mut updates = Updates::default();
     for server in 0..60 {
@@ -60,7 +60,7 @@
     }
     let (mut now, mut bytes) = (START, 0);
     while now < START + Duration::from_secs(4) {
-        let message = 300 + FIND_BYTES * updates.next_batch(false, now).len();
+        let message = 300 + UPDATE_BYTES * updates.next_batch(false, now).len();
         bytes += message * PEERS;
         now += CHANGE.max(pause(message, PEERS, LINK_MBPS));
     }
