--- a/coordination/src/rollout.rs
+++ b/coordination/src/rollout.rs
@@ -80,7 +80,7 @@
 /// A move of a service.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Record {
-    /// Sequence number of the move among those of the service.
+    /// Sequence number of the move within the service; a later move has a higher one.
     pub number: u64,
     /// Identifier that the operator gave.
     pub id: Arc<str>,
