--- a/runtime/src/http.rs
+++ b/runtime/src/http.rs
@@ -87,7 +87,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if no response arrived; the error tells whether the server may have got the request.
+    /// Fails if no response arrived; the error states whether the server may have received the
+    /// request.
     pub async fn send(
         &self,
         mut request: Request<Full<Bytes>>,
@@ -111,7 +112,8 @@
     ///
     /// # Errors
     ///
-    /// Fails if no response arrived; the error tells whether the server may have got the request.
+    /// Fails if no response arrived; the error states whether the server may have received the
+    /// request.
     pub async fn fetch(&self, request: Request<Full<Bytes>>) -> Result<(Parts, Bytes), Failure> {
         let (parts, body) = self.send(request).await?.into_parts();
         let body = Limited::new(body, FETCH_LIMIT).collect().await;
--- a/runtime/src/logging/bounded.rs
+++ b/runtime/src/logging/bounded.rs
@@ -110,7 +110,7 @@
         );
         for ((file, line), count) in suppressed {
             RATE_LIMITED.fetch_add(count, Ordering::Relaxed);
-            let message = format_args!("{count} more lines of this place left out in a second");
+            let message = format_args!("{count} further lines of this call site were suppressed");
             let record = Record::builder()
                 .level(Level::Warn)
                 .target_static(module_path!())
