--- a/relay/src/answer.rs
+++ b/relay/src/answer.rs
@@ -197,11 +197,11 @@
     }
 
     /// Returns the response to the caller.
-    pub fn response<C: Codec>(&self, dialect: &C, request_id: Option<&str>) -> Response<Content> {
+    pub fn response<C: Codec>(&self, codec: &C, request_id: Option<&str>) -> Response<Content> {
         let text = format!("{{\"error\":\"{}\"}}\n", self.reason.name());
         let mut response = Response::new(Content::Whole(Some(Bytes::from(text))));
         *response.status_mut() = self.reason.status();
-        *response.headers_mut() = dialect.refusal_headers(request_id, self.retry_after);
+        *response.headers_mut() = codec.refusal_headers(request_id, self.retry_after);
         response
     }
 }
--- a/relay/src/broadcast.rs
+++ b/relay/src/broadcast.rs
@@ -32,7 +32,7 @@
 const MIN_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Longest time between two messages to all entries, so that a lost message does no lasting harm.
-/// These are most of a large fleet's traffic between failure domains.
+/// Messages to all are most of a large fleet's traffic between failure domains.
 const MAX_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Longest time until a retry is sent to all entries: a service's retries are bounded across the
@@ -57,15 +57,14 @@
 /// Longest wait for a response of the store.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A message of an entry: its state and, for each server, the number of its streams and of those in
-/// prefill.
+/// A message of an entry, with its current state.
 #[derive(Debug, Deserialize, Serialize)]
 struct Message {
     entry: Arc<str>,
     failure_domain: Arc<str>,
     /// Capacity of its machine's link, in Mbit/s.
     link_mbps: u32,
-    /// Whether the entry reads the store with success.
+    /// Whether the entry reads the store and its last call succeeded.
     #[serde(rename = "reads")]
     reads_store: bool,
     /// Changes that the sender read in the store since its last message.
@@ -73,6 +72,7 @@
     updates: Option<Updates>,
     /// Revision of the store up to which the sender knows all changes.
     revision: u64,
+    /// For each server: its name, the entry's streams there, and those of them in prefill.
     streams: Vec<(Arc<str>, u32, u32)>,
     /// Servers that it could not reach recently.
     #[serde(default)]
@@ -80,7 +80,7 @@
     /// Successors of lost servers, found while the store was unavailable.
     #[serde(default, rename = "found")]
     successors: Vec<Successor>,
-    /// Requests and retries over the last span, by service.
+    /// Requests and retries over the last span of the retry budget, by service.
     #[serde(default, rename = "repeats")]
     retries: Vec<(Arc<str>, Usage)>,
     /// Reports on the moves in progress.
@@ -118,7 +118,7 @@
         match socket.recv_from(&mut buffer).await {
             Ok((length, from)) => receive(&relay, &buffer[..length], from),
             Err(error) => {
-                log::debug!(reason = error.to_string().as_str(); "message not received");
+                log::debug!(reason = error.to_string().as_str(); "message of a peer not received");
                 sleep(MIN_INTERVAL).await;
             }
         }
@@ -167,12 +167,12 @@
     let counts: HashMap<Arc<str>, Count> = message
         .streams
         .into_iter()
-        .map(|(server, runs, reading)| {
+        .map(|(server, streams, prefilling)| {
             (
                 server,
                 Count {
-                    streams: runs,
-                    prefilling: reading,
+                    streams,
+                    prefilling,
                 },
             )
         })
@@ -196,8 +196,8 @@
     })
 }
 
-/// Sends this entry's state: at each change to the peers in its failure domain, and periodically or
-/// as soon as it has read a change in the store to all.
+/// Sends this entry's state: to the peers in its failure domain at each change, and to all peers
+/// periodically and as soon as it has read a change of the store or found a successor.
 async fn send_state<C: Codec>(relay: Arc<Relay<C>>, socket: Arc<UdpSocket>) {
     let mut all_sent_at = Instant::now();
     let mut sent_revision = 0;
@@ -252,7 +252,7 @@
         let recipients = relay.recipients(everyone);
         for peer in &recipients.addresses {
             if let Err(error) = send(&socket, &bytes, *peer).await {
-                log::debug!(reason = error.to_string().as_str(); "message not sent");
+                log::debug!(reason = error.to_string().as_str(); "message to a peer not sent");
             }
         }
         let pause = updates::pause(
--- a/relay/src/changelog.rs
+++ b/relay/src/changelog.rs
@@ -31,8 +31,8 @@
 /// Longest wait for a peer's response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Removed keys that are kept. If more are removed, a peer that is far behind keeps some removed
-/// entries until it reads the store itself.
+/// Removed keys that are kept. If more are removed, a peer that is far behind does not receive all
+/// removals and keeps some removed keys until it reads the store itself.
 const REMOVED_LIMIT: usize = 4_096;
 
 /// Path prefix of the changes after a revision.
--- a/relay/src/codec.rs
+++ b/relay/src/codec.rs
@@ -1,4 +1,4 @@
-//! Interface to the protocol that callers, servers and the store speak.
+//! Interface to the protocol of callers, servers and the store.
 //!
 //! The relay works on the types of this module. An implementation of [`Codec`] decodes heads,
 //! reports and store values into them, and encodes the requests that the relay sends.
@@ -38,9 +38,10 @@
 /// A backup of a run's KV cache on a server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backup {
-    /// Address of the server that holds it.
+    /// Address that identifies the backup together with `handle`: the server that holds it, or the
+    /// server that copied it and returned the handle.
     pub holder: SocketAddr,
-    /// Identifier of the run, or the handle that the server returned for the backup.
+    /// Identifier of the run, or the handle that the copying server returned.
     pub handle: Arc<str>,
 }
 
--- a/relay/src/ingress.rs
+++ b/relay/src/ingress.rs
@@ -82,7 +82,7 @@
 ///
 /// # Errors
 ///
-/// Never.
+/// Never fails: every error becomes a response to the caller.
 pub async fn handle<C: Codec>(
     relay: Arc<Relay<C>>,
     request: Request<Incoming>,
@@ -158,10 +158,10 @@
     let request_hash = xxh3_64(head.request_id.as_bytes());
     let service = route.target(request_hash).cloned();
     let service = service.ok_or(Refusal::new(Reason::NoRoute))?;
-    let memory = table
+    let capacity = table
         .service(&service)
         .map_or(0, |service| service.memory_tokens);
-    if memory > 0 && head.prompt_tokens.is_some_and(|tokens| tokens > memory) {
+    if capacity > 0 && head.prompt_tokens.is_some_and(|tokens| tokens > capacity) {
         return Err(Refusal::new(Reason::PromptTooLarge));
     }
     relay.count_request(&service);
--- a/relay/src/metrics.rs
+++ b/relay/src/metrics.rs
@@ -41,11 +41,11 @@
 /// Label of a resume.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct CauseLabels {
-    /// Why the stream was moved from its server.
+    /// Why the stream left its server.
     pub cause: &'static str,
 }
 
-/// Label of a kind.
+/// Label that divides a metric by kind; each metric has its own kinds.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct KindLabels {
     /// The kind.
--- a/relay/src/rediscover.rs
+++ b/relay/src/rediscover.rs
@@ -47,7 +47,7 @@
             true => {}
             false => {
                 probes += 1;
-                if probe(&relay, &backend).await != Occupant::Nobody {
+                if probe(&relay, &backend).await != Occupant::Vacant {
                     break;
                 }
             }
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Occupant {
     /// No server responds.
-    Nobody,
+    Vacant,
     /// The server that is known there.
     Same,
     /// Another server.
@@ -84,7 +84,7 @@
             Some(Arc::clone(backend))
         }
         Occupant::Other => relay.successor(backend),
-        Occupant::Nobody => {
+        Occupant::Vacant => {
             relay.record_unreachable(backend);
             None
         }
@@ -100,7 +100,7 @@
         Ok::<_, String>((name, report))
     };
     let Ok(Ok((name, report))) = tokio::time::timeout(PROBE_TIMEOUT, responses).await else {
-        return Occupant::Nobody;
+        return Occupant::Vacant;
     };
     if name == backend.server.id {
         return Occupant::Same;
--- a/relay/src/state.rs
+++ b/relay/src/state.rs
@@ -83,7 +83,7 @@
     pub search_requested: Notify,
     /// Wakes the task that drives moves.
     pub moves_changed: Notify,
-    /// Whether this entry reads the store with success.
+    /// Whether this entry reads the store and its last call succeeded.
     pub reads_store: AtomicBool,
     view: Mutex<View>,
     changelog: Mutex<Changelog>,
@@ -148,7 +148,7 @@
         !*self.stopping.borrow() && self.view(|view| view.table.is_some())
     }
 
-    /// Returns whether the process ends before a request of length `needs` could.
+    /// Returns whether the process ends before a request that takes `needs` could end.
     #[must_use]
     pub fn ends_before(&self, needs: Duration) -> bool {
         let ends_at = self.ends_at.get();
--- a/relay/src/state/moves.rs
+++ b/relay/src/state/moves.rs
@@ -13,7 +13,8 @@
 use super::view::View;
 use super::{Backend, Relay};
 
-/// Steps between 0 and 1 of the offset at which an entry rounds a new version's share.
+/// Number of steps between 0 and 1 of the rounding offset. Each entry rounds a new version's share
+/// at an offset of its own, derived from its name.
 const OFFSETS: u32 = 1_024;
 
 /// Measurements of one attempt.
--- a/relay/src/state/peers.rs
+++ b/relay/src/state/peers.rs
@@ -20,7 +20,7 @@
 pub struct Recipients {
     /// Addresses of the recipients.
     pub addresses: Vec<SocketAddr>,
-    /// Capacity of the narrowest link of theirs and this entry's, in Mbit/s.
+    /// Capacity of the slowest link among theirs and this entry's, in Mbit/s.
     pub link_mbps: u32,
 }
 
@@ -140,11 +140,12 @@
                 && peer.failure_domain.is_some()
         });
         if !known {
-            log::info!(peer = &**name, address = address.to_string().as_str(); "entry known");
+            log::info!(peer = &**name, address = address.to_string().as_str(); "peer discovered");
         }
     }
 
-    /// Records a peer's failure domain, link, and whether it reads the store with success.
+    /// Records a peer's failure domain and link, and whether it reads the store and its last call
+    /// succeeded.
     pub fn record_peer_reader(
         &self,
         name: &Arc<str>,
@@ -160,18 +161,18 @@
             }
             let own = &self.settings;
             let new_election = || Election::new(&own.entry, own.link_mbps);
-            let readers = view.reader_election.get_or_insert_with(new_election);
-            readers.record(name, link_mbps, reads, now);
+            let election = view.reader_election.get_or_insert_with(new_election);
+            election.record(name, link_mbps, reads, now);
         });
     }
 
-    /// Returns whether a peer reads the store with success.
+    /// Returns whether a peer reads the store and its last call succeeded.
     #[must_use]
     pub fn others_read(&self) -> bool {
         let now = self.clock.now();
         self.view(|view| {
-            let readers = view.reader_election.as_ref();
-            readers.is_some_and(|readers| readers.others_read(now))
+            let election = view.reader_election.as_ref();
+            election.is_some_and(|election| election.others_read(now))
         })
     }
 
@@ -180,8 +181,8 @@
     pub fn must_read(&self) -> bool {
         let now = self.clock.now();
         self.view(|view| {
-            let readers = view.reader_election.as_ref();
-            readers.is_none_or(|readers| readers.must_read(now))
+            let election = view.reader_election.as_ref();
+            election.is_none_or(|election| election.must_read(now))
         })
     }
 
--- a/relay/src/store_watch.rs
+++ b/relay/src/store_watch.rs
@@ -104,9 +104,9 @@
 fn record_store_state<C: Codec>(relay: &Relay<C>, available: bool, reason: &str) {
     relay.metrics.store_up.set(i64::from(available));
     if available {
-        log::info!(dependency = "store"; "the store answers");
+        log::info!(dependency = "store"; "store available");
     } else {
-        log::warn!(dependency = "store", reason; "the store does not answer");
+        log::warn!(dependency = "store", reason; "store unavailable");
     }
 }
 
@@ -192,10 +192,10 @@
         }
         Ok(Record::Move { service, order }) => {
             let revision = change.revision;
-            let order = order.map(|(version, lasts)| Order {
+            let order = order.map(|(version, duration)| Order {
                 version,
                 revision,
-                duration: lasts,
+                duration,
             });
             relay.apply_move_order(&service, order);
         }
@@ -210,7 +210,7 @@
             log::error!(
                 key = change.key.as_str(), revision = change.revision,
                 problem = invalid.to_string().as_str();
-                "configuration not used; the one before stays in force"
+                "configuration or order to move a service not decoded; the previous one stays in force"
             );
         }
     }
--- a/relay/src/stream.rs
+++ b/relay/src/stream.rs
@@ -229,7 +229,8 @@
         .await
     }
 
-    /// Withdraws a retry from the budget for each arrival at a server after the first.
+    /// Withdraws a retry from the budget for each arrival at a server after the first. Returns false
+    /// if the budget is used up.
     fn withdraw_retry(&mut self) -> bool {
         self.retry_withdrawn |= self.arrivals == 0 || self.relay.take_retry(&self.job.service);
         self.retry_withdrawn
@@ -303,8 +304,8 @@
             .record_measurement(backend, &self.job.route.name, measurement);
     }
 
-    /// Sends the request to a server and waits for the head of its response. `cached` says that the
-    /// server may have the prompt in its cache.
+    /// Sends the request to a server and waits for the head of its response. `cached` is set
+    /// if the server may have the prompt in its cache.
     async fn send(
         &mut self,
         backend: &Arc<Backend>,
