--- a/relay/src/changelog.rs
+++ b/relay/src/changelog.rs
@@ -2,7 +2,7 @@
 //!
 //! An entry catches up from a peer if it is cut off from the store, its watch has fallen silent, or
 //! it started while the store was unavailable. Messages between entries carry the revision that
-//! each has read. One that stays behind for [`CATCH_UP_DELAY`] fetches the changes from the sender.
+//! each has read. One that stays behind for `CATCH_UP_DELAY` fetches the changes from the sender.
 //! Every value carries the store's revision, so a newer value is never replaced by an older one.
 
 use std::collections::HashMap;
--- a/relay/src/listener.rs
+++ b/relay/src/listener.rs
@@ -15,8 +15,8 @@
 use crate::state::Relay;
 
 /// Factor on the configured idle time. Callers reuse a connection until shortly before the idle
-/// limit; the server keeps it longer, so that it does not close a connection while a
-/// new request is on its way.
+/// limit; the server keeps it longer, so that it does not close a connection while a new
+/// request is on its way.
 const IDLE_MARGIN: u32 = 2;
 
 /// Pause after a failed accept, usually for lack of file descriptors.
