--- a/serving/src/modules/claims.rs
+++ b/serving/src/modules/claims.rs
@@ -32,7 +32,7 @@
 /// their number does not grow with the number of entries.
 const CLAIMS_PER_SWEEP: u32 = 500;
 
-/// Maximum number of concurrent cleanups; the sweep deletes the claims beyond it.
+/// Maximum number of concurrent cleanups; claims of calls that end beyond it are left to the sweep.
 const CONCURRENT_CLEANUPS: usize = 256;
 
 /// Claims of this entry.
--- a/serving/src/modules/claims/cleanup.rs
+++ b/serving/src/modules/claims/cleanup.rs
@@ -9,7 +9,8 @@
 use crate::context::Context;
 use crate::platform::{Error, Item, Store};
 
-/// Pause before a claim with a lost write is read, so that a delayed write takes effect first.
+/// Pause before a claim is read after the response to its write was lost, so that a delayed write
+/// takes effect first.
 const LATE_WRITE_PAUSE: Duration = Duration::from_secs(2);
 
 /// Pause before the first retry; it doubles with each.
@@ -18,8 +19,8 @@
 /// Number of attempts at each call to the store.
 const ATTEMPTS: u32 = 6;
 
-/// Starts the cleanup of a call that has ended. If too many are running, the sweep deletes the claim
-/// later.
+/// Starts the cleanup of a call that has ended. If too many are running, the sweep deletes the
+/// claim later.
 pub(super) fn start(context: &Arc<Context>, key: String, call: &Call) {
     let cleanup = call.cleanup();
     if cleanup == Cleanup::Nothing {
--- a/serving/src/modules/claims/run.rs
+++ b/serving/src/modules/claims/run.rs
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// Returns the reason that there is no answer, and whether the call may have run.
+/// Returns the reason why there is no response, and whether the call may have run.
 pub async fn run(
     context: &Arc<Context>,
     request: &mut Request,
--- a/serving/src/modules/claims/sweep.rs
+++ b/serving/src/modules/claims/sweep.rs
@@ -26,7 +26,7 @@
 const LEASE_TTL: Duration = Duration::from_secs(30);
 
 /// Number of deletions between two renewals of the lease.
-const CALLS_PER_RENEWAL: usize = 100;
+const DELETIONS_PER_RENEWAL: usize = 100;
 
 /// Sweeps each time that `due` is notified.
 pub(super) async fn run_when_due<S: Store>(store: &S, window: Window, name: &str, due: &Notify) {
@@ -85,7 +85,7 @@
     (cursor, mut revision): (u64, u64),
     newest: u64,
 ) -> Result<(), Error> {
-    let mut calls = 0;
+    let mut deletions = 0;
     for bucket in cursor + 1..=newest {
         let listing = store.list(&identifier::prefix(bucket)).await?;
         for item in listing.items {
@@ -93,8 +93,8 @@
                 Ok(_) | Err(Error::Conflict { .. }) => {}
                 Err(error) => return Err(error),
             }
-            calls += 1;
-            if calls % CALLS_PER_RENEWAL == 0 {
+            deletions += 1;
+            if deletions % DELETIONS_PER_RENEWAL == 0 {
                 store.renew(lease).await?;
             }
             tokio::time::sleep(CALL_PAUSE).await;
--- a/serving/tests/claims_sweep.rs
+++ b/serving/tests/claims_sweep.rs
@@ -48,7 +48,7 @@
     }
 
     fn change(&self, change: impl FnOnce(&mut State)) {
-        change(&mut self.state.lock().expect("no test panics under it"));
+        change(&mut self.state.lock().expect("the lock is not poisoned"));
     }
 }
 
@@ -146,7 +146,7 @@
 
 /// Returns a store with four claims, one of which has not expired, and a cursor older than all of
 /// them.
-async fn filled() -> Memory {
+async fn store_with_claims() -> Memory {
     let store = Memory::default();
     let before = NOW.saturating_sub(Duration::from_mins(30));
     sweep(&store, WINDOW, before, "entry-0")
@@ -161,7 +161,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn only_expired_claims_are_swept() {
-    let store = filled().await;
+    let store = store_with_claims().await;
     sweep(&store, WINDOW, NOW, "entry-0")
         .await
         .expect("the sweep succeeds");
@@ -175,7 +175,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn only_one_entry_sweeps_at_a_time() {
-    let store = filled().await;
+    let store = store_with_claims().await;
     let lease = store.grant(Duration::from_secs(30)).await.expect("a lease");
     let written = store
         .put("claims-sweeper", "entry-1".to_owned(), 0, Some(lease))
@@ -195,7 +195,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_failed_sweep_is_completed_by_the_next() {
     for calls in 0..60 {
-        let store = filled().await;
+        let store = store_with_claims().await;
         store.change(|state| state.fails_after = Some(state.calls + calls));
         let _ = sweep(&store, WINDOW, NOW, "entry-0").await;
         store.change(|state| {
