--- a/serving/src/modules/admission.rs
+++ b/serving/src/modules/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: which backend server takes a request, and when.
 //!
 //! One task owns this entry's reservations on every server, the queue of waiting requests and the
-//! record of failing servers. A request is sent only with a [`Permit`], which reserves memory on the
-//! server until it is dropped.
+//! record of failing servers. A request is sent only with a [`Permit`], which reserves memory on
+//! the server until it is dropped.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,7 +61,8 @@
 /// Reason why a request was not admitted; it was not run.
 #[derive(Clone, Debug, Eq, PartialEq, Snafu)]
 pub enum Refusal {
-    /// The request needs more memory than any backend server of the service has.
+    /// The request needs more memory than this entry may reserve on any backend server of the
+    /// service.
     #[snafu(display(
         "the request needs {tokens} tokens of memory, more than any backend server gives; ask for less"
     ))]
@@ -182,7 +183,7 @@
 #[must_use]
 pub fn start<S: Store>(dependencies: Dependencies<'_, S>) -> Admission {
     let (sender, requests) = mpsc::channel(CHANNEL_CAPACITY);
-    let (releases, priority_messages) = mpsc::unbounded_channel();
+    let (priority_sender, priority_messages) = mpsc::unbounded_channel();
     let (grant_sender, grant_requests) = mpsc::unbounded_channel();
     let task = Task {
         store: dependencies.store,
@@ -194,10 +195,10 @@
         clock: dependencies.clock,
         absences: Absences::new(),
     };
-    let granting = task.run(grant_requests, releases.clone());
+    let granting = task.run(grant_requests, priority_sender.clone());
     let channels = Channels {
         admitted: dependencies.admitted,
-        releases,
+        priority_sender,
         grant_requests: grant_sender,
     };
     let state = State::new(dependencies.settings, channels);
--- a/serving/src/modules/admission/grants.rs
+++ b/serving/src/modules/admission/grants.rs
@@ -79,7 +79,7 @@
     pub(super) async fn run(
         mut self,
         mut requests: mpsc::UnboundedReceiver<GrantRequest>,
-        state: mpsc::UnboundedSender<Message>,
+        results: mpsc::UnboundedSender<Message>,
     ) {
         while let Some(request) = requests.recv().await {
             let granted = self.update(&request).await;
@@ -87,14 +87,17 @@
                 log::debug!(server = request.server.as_ref(), reason = error.to_string().as_str(); "grant of backend memory failed");
             }
             let server = Arc::clone(&request.server);
-            if state.send(Message::Granted(server, granted.ok())).is_err() {
+            if results
+                .send(Message::Granted(server, granted.ok()))
+                .is_err()
+            {
                 return;
             }
         }
     }
 
-    /// Stores a record that grants this entry the requested tokens, or as many of them as are free, and
-    /// returns the number granted.
+    /// Stores a record that grants this entry the requested tokens, or as many of them as are free,
+    /// and returns the number granted.
     async fn update(&mut self, request: &GrantRequest) -> Result<u64, Error> {
         let key = format!("{PREFIX}{}", request.server);
         for _ in 0..UPDATE_ATTEMPTS {
@@ -124,7 +127,8 @@
         Err(Error::Contended)
     }
 
-    /// Returns a record without the grants of absent holders, if that frees enough for the request.
+    /// Returns a record without the grants of absent holders that grants this entry the minimum of
+    /// the request, if that frees enough.
     async fn reclaim(
         &mut self,
         record: &Record,
--- a/serving/src/modules/admission/pool.rs
+++ b/serving/src/modules/admission/pool.rs
@@ -17,7 +17,8 @@
     pub(super) server: Arc<Server>,
     /// Key of the server in the ledger.
     pub(super) key: ServerKey,
-    /// Whether the server is leaving; copied from [`Server`] so that a choice does not dereference it.
+    /// Whether the server is leaving; copied from [`Server`] so that a choice does not dereference
+    /// it.
     pub(super) leaving: bool,
     /// Hash of the server's name.
     pub(super) hash: u64,
@@ -27,7 +28,8 @@
     pub(super) base: u64,
     /// Tokens that all entries together may be granted on the server.
     pub(super) grant_limit: u64,
-    /// Time until which this entry's share is not expected to grow, after the store refused a grant.
+    /// Time until which this entry's share is not expected to grow, after the store refused a
+    /// grant.
     pub(super) denied_until: Duration,
 }
 
--- a/serving/src/modules/admission/state.rs
+++ b/serving/src/modules/admission/state.rs
@@ -34,8 +34,9 @@
 pub(super) struct Channels {
     /// Counters of admitted requests.
     pub(super) admitted: Admissions,
-    /// Messages of permits to the admission task.
-    pub(super) releases: mpsc::UnboundedSender<Message>,
+    /// Releases and reports of permits to the admission task, which handles them before new
+    /// requests.
+    pub(super) priority_sender: mpsc::UnboundedSender<Message>,
     /// Requests to the task that updates grants.
     pub(super) grant_requests: mpsc::UnboundedSender<GrantRequest>,
 }
@@ -107,7 +108,8 @@
         self.admit_waiting(now);
     }
 
-    /// Removes the servers that are no longer listed and on which this entry has no reservation or grant.
+    /// Removes the servers that are no longer listed and on which this entry has no reservation or
+    /// grant.
     fn remove_unused(&mut self, listed: &HashSet<&Arc<str>>) {
         let (ledger, shares) = (&mut self.ledger, &mut self.shares);
         self.members.retain(|name, member| {
@@ -145,7 +147,8 @@
             .min()
     }
 
-    /// Returns the pool member of a server; it keeps the ledger key and the denial of an earlier one.
+    /// Returns the pool member of a server; it keeps the ledger key and the denial of the earlier
+    /// member.
     fn member(&mut self, server: Arc<Server>) -> Member {
         let (base, grant_limit) = match server.role {
             Role::Engine => self.settings.memory(server.memory_tokens),
@@ -217,7 +220,8 @@
         self.admit_waiting(now);
     }
 
-    /// Returns whether a request needs more memory than any server of its pool can grant.
+    /// Returns whether a request needs more memory than this entry may ever reserve on any server
+    /// of its pool; false if the pool is unknown.
     fn too_large(&self, requirements: &Requirements) -> bool {
         let Some(pool) = self
             .pools
@@ -230,8 +234,8 @@
             .all(|member| member.limit() < requirements.tokens)
     }
 
-    /// Admits waiting requests in fair order until none fits, and requests grants of memory for those
-    /// that do not fit.
+    /// Admits waiting requests in fair order until none fits, and requests grants of memory for
+    /// those that do not fit.
     fn admit_waiting(&mut self, now: Duration) {
         loop {
             let mut lacking = Vec::new();
@@ -273,7 +277,7 @@
         let _ = waiting.reply.send(Ok(Permit {
             server,
             key,
-            sender: self.channels.releases.clone(),
+            sender: self.channels.priority_sender.clone(),
         }));
     }
 
--- a/serving/src/modules/admission/state/shares.rs
+++ b/serving/src/modules/admission/state/shares.rs
@@ -17,7 +17,8 @@
     granted: u64,
     /// Whether a grant request is in flight.
     pending: bool,
-    /// Time since which the share has been more than one step larger than its reservations.
+    /// Time since which the grant has been unused or has exceeded its used part by more than one
+    /// step.
     idle_since: Option<Duration>,
 }
 
@@ -56,7 +57,8 @@
         self.send_grant_request(server, tokens, wanted);
     }
 
-    /// Records the result of a grant request; `None` means that the store refused it or is unavailable.
+    /// Records the result of a grant request; `None` means that the store refused it or is
+    /// unavailable.
     pub(in super::super) fn record_grant(
         &mut self,
         server: &Arc<str>,
