--- a/serving/src/modules/generation.rs
+++ b/serving/src/modules/generation.rs
@@ -1,4 +1,5 @@
-//! The task of a generation: it owns the journal and the attempts, and delivers tokens to the caller.
+//! The task of a generation: it owns the journal and the attempts, and delivers tokens to the
+//! caller.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -36,7 +37,7 @@
 /// Interval between removals of detector records of unlisted servers.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(30);
 
-/// Returns an empty failure detector with the limits from the settings.
+/// Returns an empty failure detector with the bounds from the settings.
 #[must_use]
 pub fn detector(settings: &configs::generation::Generation) -> Mutex<Detector> {
     Mutex::new(Detector::new(Bounds {
@@ -213,7 +214,8 @@
         }
     }
 
-    /// Returns the attempt named by the caller's resume token, and its server if it is still listed.
+    /// Returns the attempt named by the caller's resume token, and its server if it is still
+    /// listed.
     fn resumed_attempt(&self) -> Option<(Arc<Server>, Attempt)> {
         let Resumption { token, .. } = self.request.resumption.as_ref()?;
         let directory = Arc::clone(&self.context.directory.borrow());
@@ -332,8 +334,8 @@
         }
     }
 
-    /// Cancels the attempt and waits until the reader has read everything; returns true if the reader is
-    /// gone.
+    /// Cancels the attempt and waits until the reader has read everything; returns true if the
+    /// reader is gone.
     async fn park(&mut self) -> bool {
         self.context.metrics.generations_parked.inc();
         self.cancel_running();
@@ -346,15 +348,15 @@
         }
     }
 
-    /// Removes the tokens from `index` on from the journal: they were discarded before the reader read
-    /// them, so that they must be generated again.
+    /// Removes the tokens from `index` on from the journal: they were discarded before the reader
+    /// read them, so that they must be generated again.
     fn truncate(&mut self, index: u64) {
         self.journal.truncate(index);
         self.outbox.reopen();
     }
 
-    /// Queues the end of the answer and waits until the caller has read it; returns false if a part of
-    /// the answer must be generated again.
+    /// Queues the end of the answer and waits until the caller has read it; returns false if a part
+    /// of the answer must be generated again.
     async fn finish(&mut self, reason: Arc<str>) -> bool {
         self.report_outcome(ServerOutcome::Succeeded);
         self.running = None;
@@ -371,8 +373,8 @@
 
     /// Ends the task of a caller that has disconnected.
     ///
-    /// A resumable attempt is left running, so that the caller can attach to it again for as long as
-    /// the engine keeps an attempt without a reader; any other is cancelled.
+    /// A resumable attempt is left running, so that the caller can attach to it again for as long
+    /// as the engine keeps an attempt without a reader; any other is cancelled.
     fn detach(&mut self) -> bool {
         if !self.request.resumable {
             self.cancel_running();
@@ -396,8 +398,8 @@
         }
     }
 
-    /// Ends the answer because the entry is stopping; the running attempt is left for another entry to
-    /// attach to.
+    /// Ends the answer because the entry is stopping; the running attempt is left for another entry
+    /// to attach to.
     fn report_stopping(&self) {
         let delivered = self.delivered();
         let error = Error::Stopping { delivered };
--- a/serving/src/modules/generation/admit.rs
+++ b/serving/src/modules/generation/admit.rs
@@ -12,8 +12,8 @@
 use crate::modules::admission::{Permit, Refusal, Requirements};
 use crate::modules::moves;
 
-/// How long a generation waits for a server on which it has not lost an attempt before it accepts
-/// another.
+/// How long a generation waits for a server on which it has not recently lost an attempt before it
+/// accepts another; also the pause before it retries when the queue is full.
 const PREFERRED_WAIT: Duration = Duration::from_millis(250);
 
 impl Task {
@@ -42,11 +42,11 @@
         }
     }
 
-    /// Requests a permit for a server outside `excluded` and waits for it for `wait`, or for the answer
-    /// timeout if there is none.
+    /// Requests a permit for a server outside `excluded` and waits at most `wait` for it, or at
+    /// most the answer timeout if `wait` is `None`.
     ///
-    /// The wait ends early if the caller disconnects, or if the version is withdrawn before any token
-    /// was delivered.
+    /// The wait ends early if the caller disconnects, or if the version is withdrawn before any
+    /// token was delivered.
     async fn request_permit(
         &self,
         excluded: Vec<Arc<str>>,
@@ -71,7 +71,8 @@
             version: Arc::clone(&request.version),
             account: Arc::clone(&request.account),
             weight: 1,
-            // An answer that the caller has started to read is continued before new ones are started.
+            // An answer that the caller has started to read is continued before new ones are
+            // started.
             priority: if begun { i32::MAX } else { request.priority },
             tokens: prompt_tokens(&request.prompt) + request.max_tokens,
             prefix: prefix_hash(&request.prompt),
--- a/serving/src/modules/generation/attempt.rs
+++ b/serving/src/modules/generation/attempt.rs
@@ -31,7 +31,7 @@
     Refused(String),
     /// The attempt failed while it ran; another attempt may continue the answer.
     Lost(String),
-    /// The reader is too slow.
+    /// The reader is too slow, or its buffer was discarded.
     Parked,
     /// An attempt on another server has replaced this one, because its server is leaving.
     HandedOver(Box<Prepared>),
@@ -48,7 +48,7 @@
         silence: &mut Timer,
         response: impl Future<Output = Result<F, backend::Error>>,
     ) -> Outcome {
-        let Some(response) = self.within_silence_limit(silence, response).await else {
+        let Some(response) = self.within_silence_bound(silence, response).await else {
             return Outcome::Lost("the engine did not answer".to_owned());
         };
         let outcome = match response {
@@ -84,7 +84,7 @@
         loop {
             let next = tokio::select! {
                 biased;
-                next = self.within_silence_limit(silence, frames.next()) => next,
+                next = self.within_silence_bound(silence, frames.next()) => next,
                 prepared = handover.moved(&self.journal) => return Outcome::HandedOver(prepared),
             };
             let frame = match next {
@@ -99,11 +99,11 @@
         }
     }
 
-    /// Waits for an engine until its silence reaches the detector's limit.
+    /// Waits for an engine until its silence reaches the detector's bound.
     ///
     /// Before the first token the wait is extended while the engine answers probes, up to the first
     /// token timeout, because the request may be queued behind others at the engine.
-    async fn within_silence_limit<T>(
+    async fn within_silence_bound<T>(
         &self,
         silence: &mut Timer,
         response: impl Future<Output = T>,
@@ -208,7 +208,8 @@
         self.delivered_prefix.is_some()
     }
 
-    /// Adds a token that was delivered before to the hash, and compares the hash after the last one.
+    /// Adds a token that was delivered before to the hash, and compares the hash after the last
+    /// one.
     fn check_prefix(&mut self, text: &str) -> Option<Outcome> {
         let prefix = self.delivered_prefix.as_mut()?;
         prefix.actual = resume_token::chain(prefix.actual, text);
--- a/serving/src/modules/generation/cancel.rs
+++ b/serving/src/modules/generation/cancel.rs
@@ -20,11 +20,11 @@
 /// Longest time for which an engine continues a generation without a reader.
 const ORPHAN_GRACE: Duration = Duration::from_secs(5);
 
-/// Cancels an attempt in the background, with retries until the engine confirms it or is no longer
-/// listed.
+/// Cancels an attempt in the background, with up to [`MAX_REQUESTS`] requests until the engine
+/// confirms it or is no longer listed.
 ///
-/// Without a confirmation the engine's memory stays reserved for [`ORPHAN_GRACE`] longer, after which
-/// the engine has ended the attempt.
+/// The engine's memory stays reserved until then, and without a confirmation for [`ORPHAN_GRACE`]
+/// longer, after which the engine has ended the attempt.
 pub(super) fn start(context: &Arc<Context>, running: Running, reference: Reference) {
     let context = Arc::clone(context);
     let stop = context.stop.clone();
--- a/serving/src/modules/generation/outbox.rs
+++ b/serving/src/modules/generation/outbox.rs
@@ -1,9 +1,9 @@
 //! Buffers of events between a generation's task and its caller's connection, limited for each
 //! generation and for the entry.
 //!
-//! The entry's limit is never exceeded: if a new event would exceed it, the entry first discards the
-//! largest buffer, that of an idle reader if there is one. The discarded tokens were not delivered, so
-//! the generation produces them again when the reader continues.
+//! The entry's limit is never exceeded: if a new event would exceed it, the entry first discards
+//! the largest buffer, that of an idle reader if there is one. The discarded tokens were not
+//! delivered, so the generation produces them again when the reader continues.
 
 use std::collections::VecDeque;
 use std::mem;
@@ -141,8 +141,8 @@
             .set(i64::try_from(self.buffered_bytes()).unwrap_or(i64::MAX));
     }
 
-    /// Discards the largest buffer of an idle reader, or the largest of all if none is idle; returns
-    /// the number of bytes.
+    /// Discards the largest buffer of an idle reader, or the largest of all if none is idle;
+    /// returns the number of bytes.
     fn discard_largest(&self) -> usize {
         let outboxes: Vec<Arc<Shared>> = lock(&self.outboxes)
             .values()
@@ -208,8 +208,8 @@
 impl Outbox {
     /// Adds an event and returns the reader's state.
     ///
-    /// The event is dropped if the reader is gone or earlier events were discarded, or if it does not
-    /// fit into the entry's limit even after every buffer was discarded.
+    /// The event is dropped if the reader is gone or earlier events were discarded, or if it does
+    /// not fit into the entry's limit even after every buffer was discarded.
     pub(super) fn push(&self, event: Event) -> ReaderState {
         let bytes = event.bytes();
         while !self.limiter.reserve(bytes) {
--- a/serving/src/modules/generation/request.rs
+++ b/serving/src/modules/generation/request.rs
@@ -35,8 +35,8 @@
 pub struct Resumption {
     /// The caller's resume token.
     pub token: Token,
-    /// The tokens that the caller has received, checked against the resume token; absent if it did not
-    /// send them.
+    /// The tokens that the caller has received, checked against the resume token; absent if it did
+    /// not send them.
     pub received: Option<Vec<Arc<str>>>,
 }
 
--- a/serving/src/modules/generation/silence.rs
+++ b/serving/src/modules/generation/silence.rs
@@ -13,7 +13,7 @@
 /// Gaps between tokens that are collected before they are passed to the detector.
 const GAP_BATCH: usize = 16;
 
-/// Measures the silence of one attempt against the detector's limit.
+/// Measures the silence of one attempt against the detector's bound.
 #[derive(Debug)]
 pub(super) struct Timer {
     subject: Subject,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns the time at which the silence reaches the limit.
+    /// Returns the time at which the silence reaches the bound.
     pub(super) fn deadline(&self) -> Instant {
         self.last_activity + self.bound
     }
@@ -88,7 +88,7 @@
         lock(detector).record_timeout(&self.subject, self.phase, silence);
     }
 
-    /// Passes the collected gaps to the detector and updates the limit.
+    /// Passes the collected gaps to the detector and updates the bound.
     pub(super) fn flush(&mut self, detector: &Mutex<Detector>) {
         let mut detector = lock(detector);
         for gap in mem::take(&mut self.gaps) {
