--- a/serving/src/backend.rs
+++ b/serving/src/backend.rs
@@ -56,7 +56,7 @@
     prompt.split_whitespace().count().max(1) as u64
 }
 
-/// A request to generate.
+/// A request to an engine to start or resume a generation.
 #[derive(Clone, Debug, Serialize)]
 pub struct Generate {
     /// Identifier of the request, echoed on each frame.
--- a/serving/src/modules/callers.rs
+++ b/serving/src/modules/callers.rs
@@ -22,8 +22,8 @@
 
 use problem::{Kind, Problem, RunStatus};
 
-/// Size of the kernel's send buffer of a connection, in bytes; it bounds what is buffered outside the
-/// process for a caller that does not read.
+/// Size of the kernel's send buffer of a connection, in bytes; it bounds what is buffered outside
+/// the process for a caller that does not read.
 const SEND_BUFFER: u32 = 64 << 10;
 
 /// Connections that may wait in the listen queue.
@@ -44,8 +44,8 @@
     request_id: Arc<str>,
 }
 
-/// Middleware that authenticates the caller, and rejects requests with too large headers or at an
-/// entry that is leaving.
+/// Middleware that authenticates the caller. It rejects requests whose headers are too large, and
+/// all requests while the entry is leaving.
 struct Authenticate {
     context: Arc<Context>,
 }
@@ -160,8 +160,8 @@
         TcpSocket::new_v6()?
     };
     socket.set_reuseaddr(true)?;
-    // Accepted connections inherit both options. Without `TCP_NODELAY`, a reused connection delays the
-    // first event of each answer until the caller has acknowledged the headers.
+    // Accepted connections inherit both options. Without `TCP_NODELAY`, a reused connection delays
+    // the first event of each answer until the caller has acknowledged the headers.
     socket.set_send_buffer_size(SEND_BUFFER)?;
     socket.set_nodelay(true)?;
     socket.bind(address)?;
--- a/serving/src/modules/callers/body.rs
+++ b/serving/src/modules/callers/body.rs
@@ -20,8 +20,8 @@
     _reservation: Option<Reservation>,
 }
 
-/// Returns a stream of the body. After `timeout` the unread remainder is dropped, its reservation is
-/// released, and the stream ends with an error, which closes the connection.
+/// Returns a stream of the body. After `timeout` the unread remainder is dropped, its reservation
+/// is released, and the stream ends with an error, which closes the connection.
 pub(super) fn stream(
     body: Bytes,
     reservation: Option<Reservation>,
--- a/serving/src/modules/callers/completions.rs
+++ b/serving/src/modules/callers/completions.rs
@@ -1,4 +1,5 @@
-//! `POST /v1/completions`: generations, streamed as server-sent events or sent as one JSON response.
+//! `POST /v1/completions`: generations, streamed as server-sent events or sent as one JSON
+//! response.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -112,8 +113,8 @@
 }
 
 impl Endpoint {
-    /// Counts a generation by the run status in its response headers; a stream counts as run when it
-    /// starts.
+    /// Counts a generation by the run status in its response headers; a stream counts as run when
+    /// it starts.
     fn count_request(&self, service: &str, response: &Response) {
         let run = response
             .headers()
@@ -124,8 +125,8 @@
             .count_request(service, run.unwrap_or_default());
     }
 
-    /// Parses and checks a request; returns the generation to run, the sealer of its resume tokens and
-    /// whether to stream it.
+    /// Parses and checks a request; returns the generation to run, the sealer of its resume tokens
+    /// and whether to stream it.
     fn parse(
         &self,
         body: &[u8],
--- a/serving/src/modules/callers/problem.rs
+++ b/serving/src/modules/callers/problem.rs
@@ -5,7 +5,7 @@
 use salvo::prelude::*;
 use serde::Serialize;
 
-/// Header that says whether the request ran.
+/// Header that states whether the request ran.
 pub(super) const RUN: &str = "medlarfall-run";
 
 /// Whether a request ran.
@@ -39,7 +39,7 @@
     Unauthenticated,
     /// The request cannot be parsed.
     BadRequest,
-    /// The body is larger than the limit.
+    /// The body is larger than the limit, or a generation needs more memory than any engine gives.
     TooLarge,
     /// The headers are larger than the limit.
     HeadersTooLarge,
@@ -47,7 +47,7 @@
     TooSlow,
     /// No such service is declared.
     UnknownService,
-    /// No backend server can take the request.
+    /// No backend server can take the request, or the entry is stopping.
     Unavailable,
     /// The response of the backend server was lost.
     AnswerLost,
@@ -57,7 +57,8 @@
     AnswerTooLarge,
     /// The call ran before, and its answer was not kept.
     AnswerNotKept,
-    /// The caller's identifier is malformed, outside its validity window or bound to another request.
+    /// The caller's identifier is malformed, outside its validity window or bound to another
+    /// request.
     BadIdentifier,
     /// An earlier call under the same identifier is still running.
     StillRunning,
@@ -65,7 +66,7 @@
     StoreUnavailable,
     /// The entry's memory budget for bodies and answers is exhausted.
     Overloaded,
-    /// The resume token is not valid for the request.
+    /// The answer cannot be resumed with the resume token and the tokens that the caller sent.
     ResumeRefused,
     /// The answer was not complete within its timeout.
     Timeout,
--- a/serving/src/modules/callers/services.rs
+++ b/serving/src/modules/callers/services.rs
@@ -116,7 +116,8 @@
         })
     }
 
-    /// Returns the timeout of the call.
+    /// Returns the timeout of the call: the caller's, limited to the answer timeout, or the
+    /// default.
     fn timeout(&self, request: &Request) -> Result<Duration, Problem> {
         let Some(value) = request.headers().get(TIMEOUT) else {
             return Ok(self.context.settings.services.deadline);
@@ -141,7 +142,8 @@
             .header::<usize>("content-length")
             .unwrap_or(undeclared);
         let budget = &self.context.calls.budget;
-        // Memory for the response is checked before the call runs, while it can still be refused safely.
+        // Memory for the response is checked before the call runs, while it can still be refused
+        // safely.
         let response_fits = budget.available() >= self.context.settings.services.answer_limit;
         let reservation = budget.reserve(declared.min(limit));
         reservation.filter(|_| response_fits).ok_or_else(|| {
@@ -214,7 +216,8 @@
     Problem::new(Kind::UnknownService, RunStatus::NotRun, message)
 }
 
-/// Returns whether a call is idempotent: as its longest matching route declares, or by its method.
+/// Returns whether a call is idempotent, as the longest matching route declares; without a matching
+/// route only `GET` and `HEAD` are.
 fn idempotent(service: &Service, call: &Call) -> bool {
     let method = call.method.as_str();
     let declared = service
--- a/serving/src/modules/calls.rs
+++ b/serving/src/modules/calls.rs
@@ -59,7 +59,7 @@
     pub idempotent: bool,
     /// The caller's idempotency identifier of the call.
     pub identifier: Option<Identifier>,
-    /// Time of the entry's clock until which the call may take.
+    /// Time of the entry's clock by which the call must end.
     pub deadline: Duration,
 }
 
@@ -99,7 +99,7 @@
         /// HTTP status of the response.
         status: u16,
     },
-    /// The call was refused because of its identifier.
+    /// The call was not run, since its identifier could not be claimed.
     #[snafu(display("{}", refusal_message(*reason)))]
     Refused {
         /// Reason of the refusal.
@@ -122,7 +122,7 @@
     }
 }
 
-/// Returns the caller's message for a refused identifier, with the remedy.
+/// Returns the caller's message for an identifier that could not be claimed, with the remedy.
 fn refusal_message(reason: Reason) -> &'static str {
     match reason {
         Reason::Mismatch => {
@@ -173,8 +173,8 @@
         self.lock().budget(service, self.policy).record_success();
     }
 
-    /// Returns the pause before retry number `retry` of a call, or nothing if the remaining time or the
-    /// retry budget does not allow it.
+    /// Withdraws retry number `retry` of a call from the retry budget and returns the pause before
+    /// it, or nothing if the remaining time or the budget does not allow it.
     fn next_retry(&self, service: &str, retry: u32, remaining: Duration) -> Option<Duration> {
         let mut retries = self.lock();
         let pause = attempts::BACKOFF.pause(retry, remaining, &mut retries.rng)?;
@@ -226,7 +226,7 @@
     task.await.unwrap_or(Err(Error::AnswerLost))
 }
 
-/// Runs a call; a call with an identifier that is not idempotent runs under a claim.
+/// Runs a call; a call that has an identifier and is not idempotent runs under a claim.
 async fn execute(context: &Arc<Context>, request: &mut Request) -> Result<Reply, Error> {
     match request.identifier {
         Some(identifier) if !request.idempotent => {
--- a/serving/src/modules/calls/attempts.rs
+++ b/serving/src/modules/calls/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of one call. A call is retried only if it certainly did not run or is idempotent, and
-//! only while the retry budget and the deadline allow it.
+//! The attempts of one call. A call is retried only if it certainly did not run or is idempotent,
+//! and only while the retry budget and the deadline allow it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -101,7 +101,8 @@
     tried: &[Arc<str>],
 ) -> Result<Permit, Refusal> {
     let service = &request.service;
-    // A retry goes to the version in force, so that a call meets the new version of a move only once.
+    // A retry goes to the version in force, so that a call meets the new version of a move only
+    // once.
     let version = match tried {
         [] => moves::version(context, service, &request.call.request_id),
         _ => moves::in_force(context, service),
