--- a/serving/src/configs/peers.rs
+++ b/serving/src/configs/peers.rs
@@ -9,7 +9,7 @@
 /// Section `[peers]`.
 #[derive(Clone, Debug, Default)]
 pub struct Peers {
-    /// Addresses of other entries' peers' ports, tried to join them.
+    /// Addresses of other entries' peers' ports, which this entry contacts to join them.
     pub seeds: Vec<SocketAddr>,
     /// Address at which peers reach this entry, if it differs from the one it listens on.
     pub advertise: Option<SocketAddr>,
--- a/serving/src/entry.rs
+++ b/serving/src/entry.rs
@@ -64,7 +64,7 @@
 
 impl Entry {
     /// Shuts down gracefully: refuses new requests, waits for those in progress within the entry's
-    /// window, then ends the entry's tasks. Returns whether every request ended by itself.
+    /// window, then ends the entry's tasks. Returns whether every request ended within the window.
     pub async fn leave(&self) -> bool {
         self.context.membership.leave().await;
         let completed = stops::leave(&self.context).await;
--- a/serving/src/modules/directory/reader.rs
+++ b/serving/src/modules/directory/reader.rs
@@ -1,8 +1,8 @@
 //! Reads the platform's instance list and distinguishes changes from outdated reads.
 //!
 //! A read that differs from the replica may be a new change or an outdated response of the platform.
-//! It counts as a change if it differs from this entry's own previous read, or if several reads in a
-//! row differ from the replica.
+//! It counts as a change if the replica has no record of the instance, if it differs from this
+//! entry's own previous read, or if several consecutive reads differ from the replica.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
--- a/serving/src/modules/metrics.rs
+++ b/serving/src/modules/metrics.rs
@@ -20,14 +20,14 @@
 pub struct Request {
     /// Service that the request was for.
     pub service: String,
-    /// `ran`, `not-run` or `unknown`.
+    /// Whether the request ran: `ran`, `not-run` or `unknown`.
     pub run: String,
 }
 
-/// Labels of an answer of the store that was rejected.
+/// Labels of a declaration from the store that was rejected.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct Refusal {
-    /// `older`, `fork`, `missing` or `unreadable`.
+    /// Why it was rejected: `older`, `fork`, `missing` or `unreadable`.
     pub reason: &'static str,
 }
 
--- a/serving/src/modules/moves/server_failures.rs
+++ b/serving/src/modules/moves/server_failures.rs
@@ -23,9 +23,9 @@
     /// Time of the first of the consecutive failures.
     since: Duration,
     /// Time of the last failure.
-    failed: Option<Duration>,
+    last_failure: Option<Duration>,
     /// Time of the last success.
-    answered: Option<Duration>,
+    last_success: Option<Duration>,
 }
 
 impl Streak {
@@ -35,8 +35,8 @@
             cohort,
             failures: 0,
             since: Duration::ZERO,
-            failed: None,
-            answered: None,
+            last_failure: None,
+            last_success: None,
         }
     }
 
@@ -44,12 +44,12 @@
     fn record(&mut self, failed: Option<bool>, now: Duration) {
         match failed {
             Some(true) if self.failures == 0 => {
-                (self.failures, self.since, self.failed) = (1, now, Some(now));
+                (self.failures, self.since, self.last_failure) = (1, now, Some(now));
             }
             Some(true) => {
-                (self.failures, self.failed) = (self.failures.saturating_add(1), Some(now));
+                (self.failures, self.last_failure) = (self.failures.saturating_add(1), Some(now));
             }
-            Some(false) => (self.failures, self.answered) = (0, Some(now)),
+            Some(false) => (self.failures, self.last_success) = (0, Some(now)),
             None => {}
         }
     }
@@ -62,7 +62,7 @@
 impl ServerFailures {
     /// Records a sample and returns whether the crash of its backend server alone explains it, so that
     /// it is no evidence: the server's attempts are interrupted repeatedly, and since the first of
-    /// these failures another server of the version has succeeded, or none has failed.
+    /// these failures another server of the version has succeeded, or no other one has failed.
     ///
     /// `sole_server` says that the server is the only one of its version; its failures always count.
     pub(super) fn explains(&mut self, sample: &Sample, sole_server: bool, now: Duration) -> bool {
@@ -80,10 +80,10 @@
         let others = self.0.iter().filter(|(name, _)| *name != server);
         let mut others_fail = false;
         for (_, other) in others.filter(|(_, streak)| streak.cohort == cohort) {
-            if other.answered > Some(since) {
+            if other.last_success > Some(since) {
                 return true;
             }
-            others_fail |= other.failed > Some(since);
+            others_fail |= other.last_failure > Some(since);
         }
         !others_fail
     }
--- a/serving/src/modules/moves/store.rs
+++ b/serving/src/modules/moves/store.rs
@@ -73,8 +73,8 @@
     let key = format!("{PREFIX}{service}");
     for _ in 0..ATTEMPTS {
         let item = store.get(&key).await?;
-        let held = item.as_ref().map(parse).transpose()?;
-        let next = match change(held)? {
+        let stored = item.as_ref().map(parse).transpose()?;
+        let next = match change(stored)? {
             Ok(next) => next,
             Err(kept) => return Ok(kept),
         };
@@ -111,15 +111,15 @@
 /// Returns an error if another move is in progress, or if it is not known whether the move was
 /// stored.
 pub async fn start<S: Store>(store: &S, record: &Record) -> Result<Record, Error> {
-    swap(store, &record.service, |held| match held {
-        Some(held) if held.id == record.id => Ok(Err(held)),
-        Some(held) if !held.phase.ended() => Err(Error::Running {
-            service: held.service.to_string(),
-            version: held.to.to_string(),
-            id: held.id.to_string(),
+    swap(store, &record.service, |stored| match stored {
+        Some(stored) if stored.id == record.id => Ok(Err(stored)),
+        Some(stored) if !stored.phase.ended() => Err(Error::Running {
+            service: stored.service.to_string(),
+            version: stored.to.to_string(),
+            id: stored.id.to_string(),
         }),
-        held => Ok(Ok(Record {
-            number: held.map_or(0, |held| held.number) + 1,
+        stored => Ok(Ok(Record {
+            number: stored.map_or(0, |stored| stored.number) + 1,
             ..record.clone()
         })),
     })
@@ -133,25 +133,25 @@
 ///
 /// Returns an error if the service has no move, or if it is not known whether the phase was stored.
 pub async fn write<S: Store>(store: &S, record: &Record) -> Result<Record, Error> {
-    swap(store, &record.service, |held| {
-        let held = held.ok_or_else(|| absent(&record.service, &record.id))?;
-        Ok(record.clone().replacement_for(&held).ok_or(held))
+    swap(store, &record.service, |stored| {
+        let stored = stored.ok_or_else(|| absent(&record.service, &record.id))?;
+        Ok(record.clone().replacement_for(&stored).ok_or(stored))
     })
     .await
 }
 
-/// Takes the move with an identifier back unless it has ended, and returns the stored record.
+/// Cancels the move `id` of a service unless it has ended, and returns the stored record.
 ///
 /// # Errors
 ///
 /// Returns an error if the service has no such move, or if it is not known whether the cancellation
 /// was stored.
 pub async fn cancel<S: Store>(store: &S, service: &str, id: &str) -> Result<Record, Error> {
-    swap(store, service, |held| {
-        let held = held.filter(|held| *held.id == *id);
-        let held = held.ok_or_else(|| absent(service, id))?;
-        let cancelled = held.clone().brake(CANCELLED);
-        Ok(cancelled.replacement_for(&held).ok_or(held))
+    swap(store, service, |stored| {
+        let stored = stored.filter(|stored| *stored.id == *id);
+        let stored = stored.ok_or_else(|| absent(service, id))?;
+        let cancelled = stored.clone().brake(CANCELLED);
+        Ok(cancelled.replacement_for(&stored).ok_or(stored))
     })
     .await
 }
--- a/serving/src/modules/operators.rs
+++ b/serving/src/modules/operators.rs
@@ -68,15 +68,20 @@
         let (wait, wait_ms) = (request.wait, request.wait_ms);
         let change = apply::Change::try_from(request)?;
         let replica = &self.context.declaration_replica;
-        let held = replica.get(change.name());
-        let stored = apply::store(&self.context.platform, held.as_deref(), change).await?;
+        let known = replica.get(change.name());
+        let stored = apply::store(&self.context.platform, known.as_deref(), change).await?;
         replica.offer(declarations::record(stored.clone()));
         let mut reply = rpc::ApplyReply::default();
         if wait {
             let limit = Duration::from_millis(wait_ms);
-            let found = confirm::wait(&self.context, &stored.name, stored.revision, limit).await;
-            reply.confirmed = found.confirmed.len() as u64;
-            reply.missing = found.missing.iter().map(ToString::to_string).collect();
+            let confirmation =
+                confirm::wait(&self.context, &stored.name, stored.revision, limit).await;
+            reply.confirmed = confirmation.confirmed.len() as u64;
+            reply.missing = confirmation
+                .missing
+                .iter()
+                .map(ToString::to_string)
+                .collect();
         }
         reply.service = Some(stored);
         Ok(Response::new(reply))
--- a/serving/src/modules/operators/apply.rs
+++ b/serving/src/modules/operators/apply.rs
@@ -295,7 +295,8 @@
     }
 }
 
-/// Adds a declaration's own change to its history, and removes the oldest ones above the limit.
+/// Adds a declaration's own change to its history, and removes the oldest changes above
+/// [`HISTORY_LIMIT`].
 pub fn record_history(service: &mut Service) {
     let skipped = (service.history.len() + 1).saturating_sub(HISTORY_LIMIT);
     service.history.drain(..skipped);
--- a/serving/src/modules/operators/confirm.rs
+++ b/serving/src/modules/operators/confirm.rs
@@ -35,7 +35,7 @@
 /// Pause between two rounds of queries.
 const PAUSE: Duration = Duration::from_millis(50);
 
-/// A query whether a revision is in force.
+/// A query about whether a revision of a service is in force at an entry or in its failure domain.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Query {
     /// Name of the service.
--- a/serving/src/modules/operators/orders.rs
+++ b/serving/src/modules/operators/orders.rs
@@ -9,7 +9,7 @@
 use crate::context::Context;
 use crate::modules::orders::{self, Desired, Error};
 
-/// Time for which a server's lock is requested before the order is given up.
+/// Time for which a server's lock is requested before the order fails.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl From<Error> for Status {
--- a/serving/src/modules/operators/stops.rs
+++ b/serving/src/modules/operators/stops.rs
@@ -39,17 +39,17 @@
 
 /// Plans a stop, or changes the date of a planned one.
 pub(super) async fn plan(context: &Context, request: rpc::PlanStopRequest) -> Result<Stop, Status> {
-    let wanted = request.stop.unwrap_or_default();
-    let target = target(&wanted.target)?;
-    check(&request.change_id, wanted.date_ms)?;
+    let requested = request.stop.unwrap_or_default();
+    let target = target(&requested.target)?;
+    check(&request.change_id, requested.date_ms)?;
     check_registered(context, &target)?;
     let key = format!("{PREFIX}{target}");
     let next = |current: Option<Stop>| {
         let newer = current.map_or(0, |stop| stop.revision);
-        if newer != wanted.revision {
+        if newer != requested.revision {
             return Err(Error::Conflict {
                 key: key.clone(),
-                seen: wanted.revision,
+                seen: requested.revision,
                 newer,
             });
         }
@@ -58,7 +58,7 @@
             revision: newer + 1,
             change_id: request.change_id.clone(),
             accepted_ms: unix_milliseconds(),
-            ..wanted.clone()
+            ..requested.clone()
         })
     };
     store(context, &key, &request.change_id, next).await
--- a/serving/src/modules/peers.rs
+++ b/serving/src/modules/peers.rs
@@ -271,8 +271,8 @@
         Response { loaded, message }
     }
 
-    async fn confirm(self, _: context::Context, question: Query) -> Confirmation {
-        confirm::respond(&self.context, question).await
+    async fn confirm(self, _: context::Context, query: Query) -> Confirmation {
+        confirm::respond(&self.context, query).await
     }
 }
 
--- a/serving/src/modules/stops/drain.rs
+++ b/serving/src/modules/stops/drain.rs
@@ -18,7 +18,7 @@
 
 /// When a server is checked next.
 #[derive(Clone, Copy, Debug)]
-struct ServerState {
+struct Schedule {
     /// Revision of the stop.
     revision: u64,
     /// Time of the next check, by the entry's clock.
@@ -37,27 +37,27 @@
 
 /// Gives the orders that are due; never returns.
 pub(super) async fn run(context: &Context) {
-    let mut known: BTreeMap<Arc<str>, ServerState> = BTreeMap::new();
+    let mut known: BTreeMap<Arc<str>, Schedule> = BTreeMap::new();
     let mut declared = context.stops.declared();
     loop {
         declared.mark_unchanged();
         let due = due(context, &mut known);
-        let orders = due.into_iter().map(async |(server, wanted)| {
-            let done = ensure_drain(context, &server, wanted.drain).await;
-            (server, wanted, done)
+        let orders = due.into_iter().map(async |(server, order)| {
+            let done = ensure_drain(context, &server, order.drain).await;
+            (server, order, done)
         });
-        for (server, wanted, done) in futures::future::join_all(orders).await {
+        for (server, order, done) in futures::future::join_all(orders).await {
             let pause = match done {
-                true if wanted.drain => Some(MIN_CHECK_INTERVAL + jitter(MIN_CHECK_INTERVAL)),
+                true if order.drain => Some(MIN_CHECK_INTERVAL + jitter(MIN_CHECK_INTERVAL)),
                 true => None,
                 false => Some(jitter(context.settings.stops.drain_interval)),
             };
             let now = context.clock.now();
             let next_check = pause.map_or(Duration::MAX, |pause| now + pause);
-            let revision = wanted.revision;
+            let revision = order.revision;
             known.insert(
                 Arc::clone(&server.name),
-                ServerState {
+                Schedule {
                     revision,
                     next_check,
                 },
@@ -74,28 +74,30 @@
 /// Returns the servers to check now, each with its order.
 fn due(
     context: &Context,
-    known: &mut BTreeMap<Arc<str>, ServerState>,
+    known: &mut BTreeMap<Arc<str>, Schedule>,
 ) -> Vec<(Arc<Server>, DrainOrder)> {
     let now = context.clock.now();
     let directory = Arc::clone(&context.directory.borrow());
     known.retain(|name, _| directory.find(name).is_some());
     let mut due = Vec::new();
     for server in directory.iter() {
-        let Some(wanted) = wanted(context, server) else {
+        let Some(order) = order_for(context, server) else {
             continue;
         };
-        let seen = known.get(&server.name).copied();
-        let seen = seen.filter(|seen| seen.revision == wanted.revision);
-        let next_check =
-            seen.map_or_else(|| first_check(context, wanted, now), |seen| seen.next_check);
+        let schedule = known.get(&server.name).copied();
+        let schedule = schedule.filter(|schedule| schedule.revision == order.revision);
+        let next_check = schedule.map_or_else(
+            || first_check(context, order, now),
+            |schedule| schedule.next_check,
+        );
         if now >= next_check {
-            due.push((Arc::clone(server), wanted));
+            due.push((Arc::clone(server), order));
             continue;
         }
-        let revision = wanted.revision;
+        let revision = order.revision;
         known.insert(
             Arc::clone(&server.name),
-            ServerState {
+            Schedule {
                 revision,
                 next_check,
             },
@@ -105,15 +107,15 @@
 }
 
 /// Returns the time of the first check for a new revision of a stop.
-fn first_check(context: &Context, wanted: DrainOrder, now: Duration) -> Duration {
-    if wanted.accepted_here {
+fn first_check(context: &Context, order: DrainOrder, now: Duration) -> Duration {
+    if order.accepted_here {
         return now;
     }
     now + jitter(context.settings.stops.drain_interval)
 }
 
 /// Returns the order for a server, if this entry is responsible for giving it.
-fn wanted(context: &Context, server: &Server) -> Option<DrainOrder> {
+fn order_for(context: &Context, server: &Server) -> Option<DrainOrder> {
     if server.role != Role::Engine {
         return None;
     }
--- a/serving/src/modules/stops/handover.rs
+++ b/serving/src/modules/stops/handover.rs
@@ -37,7 +37,7 @@
     context: Arc<Context>,
     server: Arc<Server>,
     request: Generate,
-    need: Requirements,
+    requirements: Requirements,
     admission_timeout: Duration,
     declared: watch::Receiver<Arc<Declared>>,
     /// Index of the first token that the attempt produces.
@@ -59,7 +59,7 @@
         context: &Arc<Context>,
         server: &Arc<Server>,
         request: Generate,
-        need: Requirements,
+        requirements: Requirements,
         first_index: u64,
     ) -> Self {
         Self {
@@ -67,8 +67,8 @@
             context: Arc::clone(context),
             server: Arc::clone(server),
             request,
-            admission_timeout: need.deadline.saturating_sub(context.clock.now()),
-            need,
+            admission_timeout: requirements.deadline.saturating_sub(context.clock.now()),
+            requirements,
             first_index,
             first_token: None,
             prepared: 0,
@@ -167,10 +167,10 @@
     fn start_next_attempt(&mut self, journal: &Journal) {
         let attempt = journal.prepared_attempt(self.prepared);
         self.prepared += 1;
-        let need = Requirements {
+        let requirements = Requirements {
             deadline: self.context.clock.now() + self.admission_timeout,
             excluded: vec![Arc::clone(&self.server.name)],
-            ..self.need.clone()
+            ..self.requirements.clone()
         };
         let request = Generate {
             attempt: attempt.0,
@@ -181,7 +181,7 @@
         let (sender, receiver) = oneshot::channel();
         self.preparing = Some(receiver);
         tokio::spawn(async move {
-            let prepared = prepare(&context, need, attempt, &request).await;
+            let prepared = prepare(&context, requirements, attempt, &request).await;
             // The generation has ended meanwhile: nobody will use this attempt.
             if let Err(Some(prepared)) = sender.send(prepared) {
                 abandon(&context, prepared.permit, &request).await;
@@ -193,11 +193,11 @@
 /// Starts an attempt and waits for its first frame; returns nothing if this fails or takes too long.
 async fn prepare(
     context: &Context,
-    need: Requirements,
+    requirements: Requirements,
     attempt: Attempt,
     request: &Generate,
 ) -> Option<Prepared> {
-    let permit = context.admission.acquire(need).await.ok()?;
+    let permit = context.admission.acquire(requirements).await.ok()?;
     let deadline = Instant::now() + context.settings.generation.first_token_timeout;
     let opened = async {
         let mut frames = context
