--- a/serving/src/modules/stops/drain.rs
+++ b/serving/src/modules/stops/drain.rs
@@ -16,7 +16,7 @@
 /// Shortest pause between two checks of an engine that obeyed the order.
 const MIN_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
-/// When a server is checked next.
+/// When a server is checked next for a revision of its stop.
 #[derive(Clone, Copy, Debug)]
 struct Schedule {
     /// Revision of the stop.
@@ -35,13 +35,13 @@
     accepted_here: bool,
 }
 
-/// Gives the orders that are due; never returns.
+/// Checks the servers that are due and gives them their orders; never returns.
 pub(super) async fn run(context: &Context) {
-    let mut known: BTreeMap<Arc<str>, Schedule> = BTreeMap::new();
+    let mut schedules: BTreeMap<Arc<str>, Schedule> = BTreeMap::new();
     let mut declared = context.stops.declared();
     loop {
         declared.mark_unchanged();
-        let due = due(context, &mut known);
+        let due = due(context, &mut schedules);
         let orders = due.into_iter().map(async |(server, order)| {
             let done = ensure_drain(context, &server, order.drain).await;
             (server, order, done)
@@ -55,7 +55,7 @@
             let now = context.clock.now();
             let next_check = pause.map_or(Duration::MAX, |pause| now + pause);
             let revision = order.revision;
-            known.insert(
+            schedules.insert(
                 Arc::clone(&server.name),
                 Schedule {
                     revision,
@@ -71,20 +71,20 @@
     }
 }
 
-/// Returns the servers to check now, each with its order.
+/// Returns the servers to check now, each with its order, and updates the schedules of the others.
 fn due(
     context: &Context,
-    known: &mut BTreeMap<Arc<str>, Schedule>,
+    schedules: &mut BTreeMap<Arc<str>, Schedule>,
 ) -> Vec<(Arc<Server>, DrainOrder)> {
     let now = context.clock.now();
     let directory = Arc::clone(&context.directory.borrow());
-    known.retain(|name, _| directory.find(name).is_some());
+    schedules.retain(|name, _| directory.find(name).is_some());
     let mut due = Vec::new();
     for server in directory.iter() {
         let Some(order) = order_for(context, server) else {
             continue;
         };
-        let schedule = known.get(&server.name).copied();
+        let schedule = schedules.get(&server.name).copied();
         let schedule = schedule.filter(|schedule| schedule.revision == order.revision);
         let next_check = schedule.map_or_else(
             || first_check(context, order, now),
@@ -95,7 +95,7 @@
             continue;
         }
         let revision = order.revision;
-        known.insert(
+        schedules.insert(
             Arc::clone(&server.name),
             Schedule {
                 revision,
