--- a/standin/src/engine.rs
+++ b/standin/src/engine.rs
@@ -332,9 +332,9 @@
     /// Crashes the engine if the tokens of its requests exceed the memory.
     fn check_memory(&self) -> Result<(), Abort> {
         let mut state = self.lock();
-        let held = state.batch.held_tokens();
-        state.stats.held_peak = state.stats.held_peak.max(held);
-        if held <= self.config.memory_tokens {
+        let held_tokens = state.batch.held_tokens();
+        state.stats.held_peak = state.stats.held_peak.max(held_tokens);
+        if held_tokens <= self.config.memory_tokens {
             return Ok(());
         }
         state.stats.overruns += 1;
--- a/standin/src/engine/batch.rs
+++ b/standin/src/engine/batch.rs
@@ -119,11 +119,11 @@
             generation.request.request_id.clone(),
             generation.request.attempt,
         );
-        let current = self
+        let is_current = self
             .generations
             .get(&key)
-            .is_some_and(|held| Arc::ptr_eq(held, generation));
-        if current {
+            .is_some_and(|current| Arc::ptr_eq(current, generation));
+        if is_current {
             self.generations.remove(&key);
         }
     }
--- a/standin/src/engine/wire.rs
+++ b/standin/src/engine/wire.rs
@@ -67,7 +67,7 @@
 /// Counters since the start, `GET /control/stats`.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Stats {
-    /// Requests to generate that were accepted for a version that the engine serves.
+    /// Requests for a version that the engine serves, including those that `fail_every` lets fail.
     pub requests: u64,
     /// Generated tokens.
     pub tokens: u64,
@@ -79,7 +79,7 @@
     pub prompt_tokens: u64,
     /// How often the requests exceeded the memory.
     pub overruns: u64,
-    /// Time from the start of the engine to the last accepted request, in milliseconds.
+    /// Time from the start of the engine to the last request counted in `requests`, in ms.
     pub last_request_ms: u64,
     /// Generations that are running or waiting now.
     pub live: u64,
--- a/standin/src/faults.rs
+++ b/standin/src/faults.rs
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// Aborts the connection if the command was to crash.
+    /// Returns [`Abort`], which closes the connection, if the command crashes the stand-in.
     pub async fn control<F: DeserializeOwned>(
         &self,
         path: &str,
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// Aborts the connection if the command was to crash.
+    /// Returns [`Abort`], which closes the connection, if the command crashes the stand-in.
     pub fn execute(&self, command: Command) -> Result<Response<Body>, Abort> {
         if command.die {
             self.crash();
--- a/standin/src/platform.rs
+++ b/standin/src/platform.rs
@@ -40,7 +40,8 @@
     pub hang: bool,
     /// Delay of every call to the store, in milliseconds.
     pub slow_ms: u64,
-    /// Number of writes, from the next one on, that take effect but whose response is lost.
+    /// Number of writes and lease calls, from the next one on, that take effect but whose response
+    /// is lost.
     pub drop_answers: u64,
     /// Delay between the effect of a write and its response, in milliseconds.
     pub answer_after_ms: u64,
--- a/standin/src/platform/store.rs
+++ b/standin/src/platform/store.rs
@@ -20,7 +20,7 @@
     pub key: String,
     /// The value.
     pub value: String,
-    /// Revision of the store that wrote the value.
+    /// Revision of the store at which the value was written.
     pub revision: u64,
 }
 
--- a/standin/src/service.rs
+++ b/standin/src/service.rs
@@ -262,12 +262,12 @@
         self.lock()
             .forwarded_headers
             .insert(action.clone(), forwarded_headers);
-        let (runs, faults) = self.run(&action, request_id)?;
+        let (run_count, faults) = self.run(&action, request_id)?;
         tokio::time::sleep(Duration::from_millis(faults.answer_after_ms)).await;
         self.lifecycle.wait_while_paused().await;
         let padding = ".".repeat(faults.answer_bytes);
         let mut answer =
-            json!({ "action": action, "path": path, "runs": runs, "version": version });
+            json!({ "action": action, "path": path, "runs": run_count, "version": version });
         if !padding.is_empty() {
             answer["padding"] = padding.into();
         }
@@ -278,18 +278,18 @@
     ///
     /// # Errors
     ///
-    /// Aborts the connection, after the action ran, if the faults drop the response.
+    /// Returns [`Abort`] if the faults drop the response; the action has run nevertheless.
     fn run(&self, action: &str, request_id: String) -> Result<(u64, Faults), Abort> {
         let mut state = self.lock();
         state.executed_requests.insert(request_id);
-        let runs = state.run_counts.entry(action.to_owned()).or_default();
-        *runs += 1;
-        let runs = *runs;
+        let run_count = state.run_counts.entry(action.to_owned()).or_default();
+        *run_count += 1;
+        let run_count = *run_count;
         if state.faults.drop_answers > 0 {
             state.faults.drop_answers -= 1;
             return Err(Abort);
         }
-        Ok((runs, state.faults.clone()))
+        Ok((run_count, state.faults.clone()))
     }
 
     /// Returns the identifier for the response, which `cross_answers` replaces by another one.
