--- a/programs/src/bench.rs
+++ b/programs/src/bench.rs
@@ -41,7 +41,7 @@
 ///
 /// # Errors
 ///
-/// Returns the error that ended the scenario, or that no scenario has this name.
+/// Returns the error that ended the scenario, or an error if no scenario has this name.
 pub async fn run(scenario: &str, seed: u64, json: bool) -> Result<(), Box<dyn Error>> {
     let report = run_scenario(scenario, seed).await?;
     if json {
--- a/programs/src/bench/at_most_once.rs
+++ b/programs/src/bench/at_most_once.rs
@@ -267,18 +267,19 @@
 /// Compares the replies to callers with the runs that the services counted.
 fn evaluate(cluster: &Cluster, outcomes: &[Outcome]) -> Tally {
     let mut tally = Tally::default();
-    let ran: BTreeSet<String> = cluster
+    let executed_requests: BTreeSet<String> = cluster
         .services
         .iter()
         .flat_map(|instance| instance.service.executed_requests())
         .collect();
     for outcome in outcomes {
-        let runs = count_runs(cluster, &outcome.name);
-        tally.ran_twice += usize::from(runs > 1);
+        let run_count = count_runs(cluster, &outcome.name);
+        tally.ran_twice += usize::from(run_count > 1);
         for reply in &outcome.replies {
-            let denied = reply.run == "not-run" && ran.contains(&reply.request_id);
-            tally.not_run_but_ran += usize::from(denied);
-            tally.answers_wrong += usize::from(is_wrong(reply, &outcome.name, runs));
+            let contradicted =
+                reply.run == "not-run" && executed_requests.contains(&reply.request_id);
+            tally.not_run_but_ran += usize::from(contradicted);
+            tally.answers_wrong += usize::from(is_wrong(reply, &outcome.name, run_count));
         }
         let last = outcome.replies.last().map_or("unknown", |reply| &reply.run);
         tally.unknown += usize::from(last == "unknown");
@@ -296,14 +297,14 @@
         .sum()
 }
 
-/// Returns whether a reply states that an action ran although it did not, or belongs to another
-/// action.
-fn is_wrong(reply: &Reply, name: &str, runs: u64) -> bool {
+/// Returns whether a reply that states that its action ran is wrong: the action did not run, the
+/// status is not 200, or the body names another action.
+fn is_wrong(reply: &Reply, name: &str, run_count: u64) -> bool {
     if reply.run != "ran" {
         return false;
     }
     let answer: Value = serde_json::from_str(&reply.body).unwrap_or_default();
-    runs == 0 || reply.status != 200 || answer["action"] != name
+    run_count == 0 || reply.status != 200 || answer["action"] != name
 }
 
 /// Returns the average number of calls to the store per call with an identifier, without faults.
--- a/programs/src/bench/moves.rs
+++ b/programs/src/bench/moves.rs
@@ -62,8 +62,8 @@
 /// Observations of the requests to the new version.
 #[derive(Clone, Copy, Debug, Default)]
 struct Observation {
-    /// Requests to the new version and to both versions, and the time, when the fault first
-    /// affected a request.
+    /// State when the fault was first seen to affect a request: the number of requests to the new
+    /// version, the number of requests to both versions, and the time.
     at_fault: Option<(u64, u64, Instant)>,
     /// Time at which every entry had stopped sending requests to the new version.
     stopped: Option<Instant>,
--- a/programs/src/bench/resume/naive.rs
+++ b/programs/src/bench/resume/naive.rs
@@ -12,7 +12,7 @@
 use super::faults::Targets;
 use super::{Arrival, MAX_TOKENS, Sample, VERSION};
 
-/// Time without a token after which an engine is taken for failed.
+/// Time without a token after which an engine is considered failed.
 const SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Maximum number of attempts at a generation.
--- a/programs/src/bench/routing.rs
+++ b/programs/src/bench/routing.rs
@@ -57,7 +57,7 @@
     LeastReported,
 }
 
-/// Measurements of one way; `ttft` is in microseconds.
+/// Measurements of one of the three ways to send the requests; `ttft` is in microseconds.
 struct Measurements {
     ttft: Histogram<u64>,
     wrong: u64,
@@ -314,7 +314,8 @@
     Some(clock.finish(text != oracle::answer("v1", prompt, MAX_TOKENS)))
 }
 
-/// Returns the measurements of one way, from its samples and the cluster's counters.
+/// Returns the measurements of one way to send the requests, from its samples and the cluster's
+/// counters.
 fn summarize(
     cluster: &Cluster,
     samples: Vec<Option<Sample>>,
--- a/programs/src/bin/medlarfalld.rs
+++ b/programs/src/bin/medlarfalld.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Runs the entry until the process receives SIGINT, or SIGTERM, on which the entry leaves the
+/// Runs the entry until the process receives SIGINT or SIGTERM. On SIGTERM, the entry leaves the
 /// cluster before the process exits.
 async fn run(settings: Settings) -> ExitCode {
     telemetry::start(settings.log.level);
--- a/programs/src/caller/answer.rs
+++ b/programs/src/caller/answer.rs
@@ -11,7 +11,7 @@
 /// Pause after each round over all entries.
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
 
-/// Time without data after which an entry is taken for failed.
+/// Time without data after which an entry is considered failed.
 const SILENCE_LIMIT: Duration = Duration::from_secs(30);
 
 /// A streamed answer and the state needed to resume it.
--- a/programs/src/commands.rs
+++ b/programs/src/commands.rs
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// Returns whether a settings file is one for the users' platform, which are in YAML.
+/// Returns whether a settings file is in YAML, the format of the settings for the users' platform.
 fn is_yaml(path: &Path) -> bool {
     let extension = path.extension().and_then(OsStr::to_str);
     matches!(extension, Some("yaml" | "yml"))
--- a/programs/src/demo.rs
+++ b/programs/src/demo.rs
@@ -101,9 +101,9 @@
             action,
         )
         .await?;
-    let runs = cluster.services[0].service.run_counts();
+    let run_counts = cluster.services[0].service.run_counts();
     println!("non-idempotent call: {} {}", assigned.status, assigned.body);
-    if runs.get(action) != Some(&1) {
+    if run_counts.get(action) != Some(&1) {
         return Err("the non-idempotent call did not run exactly once".into());
     }
     Ok(())
