--- a/programs/tests/at_most_once/fleet.rs
+++ b/programs/tests/at_most_once/fleet.rs
@@ -202,9 +202,9 @@
 
     /// Returns how often the service has run an action.
     pub async fn run_count(&self, action: &str) -> u64 {
-        let runs = control(self.service.address(), Method::GET, "runs", &json!({})).await;
-        let runs: BTreeMap<String, u64> = serde_json::from_str(&runs).expect("counts");
-        runs.get(action).copied().unwrap_or(0)
+        let body = control(self.service.address(), Method::GET, "runs", &json!({})).await;
+        let run_counts: BTreeMap<String, u64> = serde_json::from_str(&body).expect("counts");
+        run_counts.get(action).copied().unwrap_or(0)
     }
 
     /// Waits until an action has run.
--- a/programs/tests/orders.rs
+++ b/programs/tests/orders.rs
@@ -45,7 +45,8 @@
     Server::try_from(instance).expect("a server")
 }
 
-/// Returns what the entry needs to give orders, with at most three attempts per order.
+/// Returns the dependencies that an entry needs to send orders, with at most three attempts per
+/// order.
 fn dependencies(cluster: &Cluster) -> Dependencies<platform::http::Client, Client> {
     let context = &cluster.entries[0].context;
     let mut settings = context.settings.orders;
@@ -137,16 +138,20 @@
             .grant(ORDER_TIMEOUT * 2)
             .await
             .expect("a lease");
-        let held = dependencies
+        let lock_revision = dependencies
             .store
             .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
             .await
             .expect("the lock");
-        let given =
+        let result =
             orders::execute(&dependencies, &server, &drain(true), fencing, LOCK_TIMEOUT).await;
-        let state = given.expect("the order is carried out");
+        let state = result.expect("the order is carried out");
         assert!(state.draining);
-        assert!(state.fencing > held, "{} > {held}", state.fencing);
+        assert!(
+            state.fencing > lock_revision,
+            "{} > {lock_revision}",
+            state.fencing
+        );
     }
 }
 
@@ -162,8 +167,8 @@
         .put("orders/engine-0", "another".to_owned(), 0, Some(lease))
         .await
         .expect("the lock");
-    let given = orders::execute(&dependencies, &server, &drain(true), false, Duration::ZERO).await;
-    let message = given.expect_err("another holder has the lock").to_string();
+    let result = orders::execute(&dependencies, &server, &drain(true), false, Duration::ZERO).await;
+    let message = result.expect_err("another holder has the lock").to_string();
     assert!(message.contains("the other holder is done"), "{message}");
     let state = dependencies
         .engine
@@ -183,9 +188,9 @@
             drop_answers: lost,
             ..Faults::default()
         });
-        let given =
+        let result =
             orders::execute(&dependencies, &server, &drain(true), false, LOCK_TIMEOUT).await;
-        assert!(given.expect("the order is carried out").draining);
+        assert!(result.expect("the order is carried out").draining);
     }
 }
 
@@ -201,17 +206,17 @@
                 tokio::spawn(async move {
                     let desired = drain(index % 2 == 0);
                     let lock_timeout = Duration::from_secs(20);
-                    let given =
+                    let result =
                         orders::execute(&dependencies, &server, &desired, fencing, lock_timeout)
                             .await;
-                    given.map(|state| (state.fencing, state.draining, desired.drain))
+                    result.map(|state| (state.fencing, state.draining, desired.drain))
                 })
             })
             .collect();
         for holder in futures::future::join_all(holders).await {
             let (_, draining, desired) =
                 holder.expect("no panic").expect("the order is carried out");
-            // No other holder gave an order while this one had the lock.
+            // No other holder sent an order while this one had the lock.
             assert_eq!(Some(draining), desired);
         }
     }
@@ -226,8 +231,8 @@
         .engine
         .lifecycle()
         .pause(Duration::from_mins(1));
-    let given = orders::execute(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
-    let message = given.expect_err("the engine does not answer").to_string();
+    let result = orders::execute(&dependencies, &server, &drain(true), true, LOCK_TIMEOUT).await;
+    let message = result.expect_err("the engine does not answer").to_string();
     assert!(message.contains("order again"), "{message}");
 }
 
--- a/programs/tests/plain_services.rs
+++ b/programs/tests/plain_services.rs
@@ -1,5 +1,5 @@
-//! Calls to plain services: the memory budget of bodies and answers, retries, the headers that are
-//! passed on, and metrics.
+//! Calls to plain services: the memory budget of bodies and answers, retries, forwarded
+//! headers, and metrics.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -128,8 +128,8 @@
     assert_eq!(run_action(&cluster, "room").await, (200, "ran".to_owned()));
     let mut answer = Vec::new();
     let _ = stalled.read_to_end(&mut answer).await;
-    let runs = cluster.services[0].service.run_counts();
-    assert_eq!(runs.keys().collect::<Vec<_>>(), ["room"]);
+    let run_counts = cluster.services[0].service.run_counts();
+    assert_eq!(run_counts.keys().collect::<Vec<_>>(), ["room"]);
 }
 
 /// Retries that a service's budget allows before its first success.
@@ -197,10 +197,10 @@
     let caller = cluster.caller(0);
     let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "traced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
-    let passed_on = cluster.services[0].service.forwarded_headers("traced");
-    let passed_on = passed_on.expect("the service was called");
-    assert_eq!(passed_on.traceparent.split('-').nth(1), Some(trace));
-    let timeout_ms: u64 = passed_on.timeout_ms.parse().expect("milliseconds");
+    let forwarded = cluster.services[0].service.forwarded_headers("traced");
+    let forwarded = forwarded.expect("the service was called");
+    assert_eq!(forwarded.traceparent.split('-').nth(1), Some(trace));
+    let timeout_ms: u64 = forwarded.timeout_ms.parse().expect("milliseconds");
     assert!((1..=900).contains(&timeout_ms), "{timeout_ms}");
 }
 
@@ -211,9 +211,9 @@
     let caller = cluster.caller(0);
     let call = caller.call_with_headers(Method::POST, "/s/tracker/plots/7", "untraced", &headers);
     assert_eq!(call.await.expect("a reply").run, "ran");
-    let passed_on = cluster.services[0].service.forwarded_headers("untraced");
-    let passed_on = passed_on.expect("the service was called");
-    assert!(!passed_on.traceparent.contains("nonsense"));
+    let forwarded = cluster.services[0].service.forwarded_headers("untraced");
+    let forwarded = forwarded.expect("the service was called");
+    assert!(!forwarded.traceparent.contains("nonsense"));
 }
 
 #[tokio::test]
--- a/programs/tests/resume.rs
+++ b/programs/tests/resume.rs
@@ -44,7 +44,7 @@
     assert_eq!(text, oracle::answer("v1", prompt, MAX_TOKENS));
 }
 
-/// Injects faults into the engine of a generation and expects the oracle's answer all the same.
+/// Injects faults into the engine of a generation and expects the oracle's answer nevertheless.
 async fn expect_recovery_from(test: &str, faults: Faults) {
     let fleet = Fleet::start(test).await;
     let (answer, engine) = begin_generation(&fleet, test).await;
--- a/programs/tests/stops.rs
+++ b/programs/tests/stops.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Returns a stop of a target after a notice.
+/// Returns a stop of a target whose date is `notice` from now.
 fn stop(target: &str, notice: Duration) -> Stop {
     Stop {
         target: target.to_owned(),
