--- a/programs/src/bench/config.rs
+++ b/programs/src/bench/config.rs
@@ -85,8 +85,8 @@
     }
 }
 
-/// Measures an idle cluster: the calls to the platform per second, and the bytes that each entry
-/// sends to peers per second.
+/// Measures an idle cluster: the reads of declarations and instances on the platform per second,
+/// and the bytes that each entry sends to peers per second.
 async fn measure_idle(entries: usize) -> Result<(f64, f64), Box<dyn Error>> {
     let cluster = Cluster::start(plan(entries)).await?;
     sleep(SETTLE_TIME).await;
--- a/programs/src/bench/stops.rs
+++ b/programs/src/bench/stops.rs
@@ -142,7 +142,7 @@
     stored.map_err(|status| status.message().to_owned())?;
     let accepted = Instant::now();
     let leaving = Arc::new(cluster.engines[index].engine.clone());
-    let late = tokio::spawn(watch_late_work(Arc::clone(&leaving), accepted));
+    let last_request = tokio::spawn(measure_last_request(Arc::clone(&leaving), accepted));
     let finished = async {
         let mut watch = operator.watch_stop(&target).await.ok()?;
         while let Some(progress) = watch.message().await.ok()? {
@@ -156,11 +156,11 @@
     let date = tokio::time::Instant::from_std(accepted + NOTICE);
     tokio::time::sleep_until(date).await;
     leaving.lifecycle().crash();
-    Ok((matches!(in_time, Ok(Some(()))), late.await?))
+    Ok((matches!(in_time, Ok(Some(()))), last_request.await?))
 }
 
 /// Returns how long after the acceptance of its stop an engine last received a request.
-async fn watch_late_work(engine: Arc<engine::Engine>, accepted: Instant) -> Duration {
+async fn measure_last_request(engine: Arc<engine::Engine>, accepted: Instant) -> Duration {
     let mut requests = engine.stats().requests;
     let mut last = Duration::ZERO;
     while accepted.elapsed() < NOTICE {
