--- a/programs/tests/at_most_once.rs
+++ b/programs/tests/at_most_once.rs
@@ -53,8 +53,8 @@
         (again.status, again.run, again.body),
         (200, first.run, first.body.clone())
     );
-    // The entry with the claim has written the call's status to the store, so the answer survives
-    // the death of that entry.
+    // The claimer, entry 0, has written the call's status to the store, so the answer survives its
+    // death.
     fleet.wait_for_claim("\\\"status\\\":200").await;
     fleet.entries[0].kill();
     let later = fleet.run_action(1, "assign", Some(&id)).await;
