--- a/serving/src/modules.rs
+++ b/serving/src/modules.rs
@@ -1,4 +1,4 @@
-//! The features of an entry, one module each.
+//! The functions of an entry, one module each.
 
 pub mod admission;
 pub mod callers;
@@ -13,5 +13,5 @@
 pub mod operators;
 pub mod orders;
 pub mod peers;
-pub mod spread;
+pub mod replication;
 pub mod stops;
--- a/serving/src/modules/operators.rs
+++ b/serving/src/modules/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' port: remote procedure calls for declarations and status.
+//! The operators' port: a gRPC service for declarations, planned stops, orders, moves and status.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 mod orders;
 mod stops;
 
-/// Answers operators.
+/// Handles the calls of operators.
 struct Handle {
     context: Arc<Context>,
 }
@@ -52,7 +52,7 @@
         .serve_with_incoming_shutdown(TcpListenerStream::new(listener), stop.cancelled_owned());
     tokio::spawn(async move {
         if let Err(error) = server.await {
-            log::error!(error = error.to_string().as_str(); "the operators' port has ended");
+            log::error!(error = error.to_string().as_str(); "server of the operators' port failed");
         }
     });
     Ok(address)
@@ -67,10 +67,10 @@
         let request = request.into_inner();
         let (wait, wait_ms) = (request.wait, request.wait_ms);
         let change = apply::Change::try_from(request)?;
-        let board = &self.context.board;
-        let held = board.get(change.name());
+        let replica = &self.context.declaration_replica;
+        let held = replica.get(change.name());
         let stored = apply::store(&self.context.platform, held.as_deref(), change).await?;
-        board.offer(declarations::record(stored.clone()));
+        replica.offer(declarations::record(stored.clone()));
         let mut reply = rpc::ApplyReply::default();
         if wait {
             let limit = Duration::from_millis(wait_ms);
--- a/serving/src/modules/stops/holding.rs
+++ b/serving/src/modules/stops/in_flight.rs
@@ -1,39 +1,39 @@
-//! Requests of this entry in progress, counted by the backend server that they hold.
+//! Counts of this entry's requests in progress, and of its attempts at each backend server.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use tokio::sync::watch;
 
-/// Counts by backend server.
+/// Attempts in progress by backend server.
 type Counts = BTreeMap<Arc<str>, u64>;
 
-/// Requests in progress.
+/// Requests and attempts in progress at this entry.
 #[derive(Debug)]
-pub struct Holding {
+pub struct InFlight {
     requests: watch::Sender<u64>,
     servers: watch::Sender<Counts>,
 }
 
-/// Counts one request of this entry for as long as it lives.
+/// A guard that counts one request of this entry until it is dropped.
 #[derive(Debug)]
 pub struct Request(watch::Sender<u64>);
 
-/// Counts one attempt at a backend server for as long as it lives.
+/// A guard that counts one attempt at a backend server until it is dropped.
 #[derive(Debug)]
 pub struct Attempt {
     servers: watch::Sender<Counts>,
     server: Arc<str>,
 }
 
-impl Default for Holding {
+impl Default for InFlight {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Holding {
-    /// Returns a count of nothing.
+impl InFlight {
+    /// Returns counts of zero.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -44,14 +44,14 @@
 
     /// Counts a request until the returned guard is dropped.
     #[must_use]
-    pub fn request(&self) -> Request {
+    pub fn start_request(&self) -> Request {
         self.requests.send_modify(|requests| *requests += 1);
         Request(self.requests.clone())
     }
 
     /// Counts an attempt at a backend server until the returned guard is dropped.
     #[must_use]
-    pub fn attempt(&self, server: &Arc<str>) -> Attempt {
+    pub fn start_attempt(&self, server: &Arc<str>) -> Attempt {
         self.servers.send_modify(|servers| {
             *servers.entry(Arc::clone(server)).or_default() += 1;
         });
@@ -63,7 +63,7 @@
 
     /// Returns the number of attempts at a backend server in progress.
     #[must_use]
-    pub fn at(&self, server: &str) -> u64 {
+    pub fn attempts_at(&self, server: &str) -> u64 {
         self.servers.borrow().get(server).copied().unwrap_or(0)
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Waits until no request is in progress.
-    pub async fn none(&self) {
+    pub async fn wait_idle(&self) {
         let mut requests = self.requests.subscribe();
         let _ = requests.wait_for(|requests| *requests == 0).await;
     }
