--- a/coordination/src/retry_budget.rs
+++ b/coordination/src/retry_budget.rs
@@ -92,7 +92,7 @@
     /// Further retries allowed in the window, over all entries.
     pub reserve: f64,
     /// Length of the window.
-    pub span: Duration,
+    pub window: Duration,
 }
 
 /// Number of slots that a window is divided into. Counts expire up to one slot early.
@@ -221,7 +221,7 @@
 
     /// Removes the slots before the window.
     fn remove_expired(&mut self, now: Duration) {
-        let window = self.bounds.span;
+        let window = self.bounds.window;
         while let Some(slot) = self.slots.front()
             && now.saturating_sub(slot.start) >= window
         {
@@ -232,7 +232,7 @@
     /// Returns the slot that contains `now`.
     fn slot(&mut self, now: Duration) -> &mut Slot {
         self.remove_expired(now);
-        let length = self.bounds.span / SLOTS;
+        let length = self.bounds.window / SLOTS;
         let last = self.slots.back();
         if last.is_none_or(|slot| now.saturating_sub(slot.start) >= length) {
             self.slots.push_back(Slot {
--- a/coordination/tests/retry_budget.rs
+++ b/coordination/tests/retry_budget.rs
@@ -65,7 +65,7 @@
 const BOUNDS: Bounds = Bounds {
     share: 0.8,
     reserve: 150.0,
-    span: Duration::from_secs(10),
+    window: Duration::from_secs(10),
 };
 
 /// One of 81 entries receives a request every other second and then loses four of its streams at the
@@ -116,8 +116,8 @@
                     .filter(|time| **time > now.saturating_sub(span));
                 u32::try_from(recent.count()).map_or(f64::MAX, f64::from)
             };
-            let limit = 3.0 + BOUNDS.share * since(&requests, BOUNDS.span);
-            assert!(since(&retries, BOUNDS.span * 9 / 10) <= limit + 1e-6);
+            let limit = 3.0 + BOUNDS.share * since(&requests, BOUNDS.window);
+            assert!(since(&retries, BOUNDS.window * 9 / 10) <= limit + 1e-6);
         }
     });
 }
@@ -131,7 +131,7 @@
 const ENTRY_BOUNDS: Bounds = Bounds {
     share: 0.6,
     reserve: 127.0,
-    span: Duration::from_secs(10),
+    window: Duration::from_secs(10),
 };
 
 /// Time until the usage of an entry is known to all entries.
@@ -196,7 +196,7 @@
         let within = |times: &[Duration], end: Duration| {
             let recent = times
                 .iter()
-                .filter(|at| **at <= end && end.saturating_sub(**at) < BOUNDS.span);
+                .filter(|at| **at <= end && end.saturating_sub(**at) < BOUNDS.window);
             u32::try_from(recent.count()).map_or(f64::MAX, f64::from)
         };
         let share = |end: &Duration| {
--- a/programs/src/bench/slow_readers.rs
+++ b/programs/src/bench/slow_readers.rs
@@ -147,7 +147,7 @@
             + beside_slow.wrong,
         given_up: metrics
             .clone()
-            .map(|metrics| metrics.held_given_up.get())
+            .map(|metrics| metrics.buffers_discarded.get())
             .sum(),
         parked: metrics
             .map(|metrics| metrics.generations_parked.get())
--- a/programs/tests/slow_readers.rs
+++ b/programs/tests/slow_readers.rs
@@ -109,7 +109,7 @@
     wait_until_parked(&cluster, READERS as u64).await;
     let context = &cluster.entries[0].context;
     assert!(context.buffer_limiter.peak_bytes() <= ENTRY_BYTES);
-    assert!(context.metrics.held_given_up.get() > 0);
+    assert!(context.metrics.buffers_discarded.get() > 0);
     let reads = streams.into_iter().enumerate();
     futures::future::join_all(reads.map(|(index, stream)| expect_oracle_answer(stream, index)))
         .await;
--- a/relay/src/backup.rs
+++ b/relay/src/backup.rs
@@ -39,7 +39,7 @@
     pub fn backup(&self) -> Option<Backup> {
         let handle = self.handle.borrow().clone()?;
         Some(Backup {
-            holder: self.source,
+            address: self.source,
             handle,
         })
     }
--- a/relay/src/broadcast.rs
+++ b/relay/src/broadcast.rs
@@ -151,7 +151,7 @@
     }
     let behind = message.revision > relay.changelog(|changelog| changelog.revision());
     if message.reads_store && !behind {
-        relay.servers_known();
+        relay.confirm_servers();
     }
     if behind && !relay.begin_catching_up() {
         let relay = Arc::clone(relay);
--- a/relay/src/codec.rs
+++ b/relay/src/codec.rs
@@ -38,9 +38,9 @@
 /// A backup of a run's KV cache on a server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backup {
-    /// Address that identifies the backup together with `handle`: the server that holds it, or the
+    /// Identifies the backup together with `handle`: address of the server that holds it, or of the
     /// server that copied it and returned the handle.
-    pub holder: SocketAddr,
+    pub address: SocketAddr,
     /// Identifier of the run, or the handle that the copying server returned.
     pub handle: Arc<str>,
 }
--- a/relay/src/state/gauges.rs
+++ b/relay/src/state/gauges.rs
@@ -10,7 +10,7 @@
 impl<C: Codec> Relay<C> {
     /// Records that the list of servers is complete as of now: this entry read the store, or a peer
     /// that reads it reported no newer revision.
-    pub fn servers_known(&self) {
+    pub fn confirm_servers(&self) {
         let now = self.clock.now();
         self.view(|view| view.servers_confirmed_at = now);
     }
--- a/relay/src/store_watch.rs
+++ b/relay/src/store_watch.rs
@@ -88,7 +88,7 @@
             last_available = Some(available);
         }
         if available {
-            relay.servers_known();
+            relay.confirm_servers();
             failures = 0;
             relay.streams_changed.notify_one();
             tokio::time::sleep(COALESCE).await;
--- a/relay/src/stream/backups.rs
+++ b/relay/src/stream/backups.rs
@@ -26,7 +26,7 @@
         }
         let server = server.filter(|server| self.relay.is_listed(server))?;
         let backup = Backup {
-            holder: server.server.address,
+            address: server.server.address,
             handle: Arc::clone(&self.job.original.request_id),
         };
         Some((server, Some(backup)))
--- a/serving/src/modules/generation/outbox.rs
+++ b/serving/src/modules/generation/outbox.rs
@@ -98,8 +98,8 @@
             limit,
             buffered: AtomicUsize::new(0),
             peak: AtomicUsize::new(0),
-            gauge: metrics.held_bytes.clone(),
-            discards: metrics.held_given_up.clone(),
+            gauge: metrics.buffered_bytes.clone(),
+            discards: metrics.buffers_discarded.clone(),
             outboxes: Mutex::default(),
         })
     }
--- a/serving/src/modules/metrics.rs
+++ b/serving/src/modules/metrics.rs
@@ -80,11 +80,11 @@
     /// Generations moved off a leaving server while it was still running them.
     pub generations_moved: Counter,
     /// Text buffered for readers that have not read it yet, in bytes.
-    pub held_bytes: Gauge,
+    pub buffered_bytes: Gauge,
     /// Generations cancelled at their engine because the reader did not read.
     pub generations_parked: Counter,
     /// Times that buffered text was discarded because the entry buffered too much.
-    pub held_given_up: Counter,
+    pub buffers_discarded: Counter,
     /// Generations that a caller continued with a resume token.
     pub generations_resumed: Counter,
 }
@@ -124,11 +124,11 @@
             "Declarations from the store that were not obeyed, by reason",
             store_refusals.clone(),
         );
-        let held_bytes = Gauge::default();
+        let buffered_bytes = Gauge::default();
         registry.register(
             "held_bytes",
             "Text held for readers that have not read it yet",
-            held_bytes.clone(),
+            buffered_bytes.clone(),
         );
         let mut counter = |name: &str, help: &str| {
             let counter = Counter::default();
@@ -139,7 +139,7 @@
             "generations_parked",
             "Generations taken from their engine because the reader did not read",
         );
-        let held_given_up = counter(
+        let buffers_discarded = counter(
             "held_given_up",
             "Times that held text was given up because the entry held too much",
         );
@@ -158,9 +158,9 @@
             attempts_lost,
             store_refusals,
             generations_moved,
-            held_bytes,
+            buffered_bytes,
             generations_parked,
-            held_given_up,
+            buffers_discarded,
             generations_resumed,
         }
     }
