--- a/programs/src/bench/at_most_once.rs
+++ b/programs/src/bench/at_most_once.rs
@@ -36,7 +36,7 @@
 /// One in this many actions carries no identifier and is attempted once.
 const UNIDENTIFIED_EVERY: usize = 4;
 
-/// Pause of a caller before a retry.
+/// Pause of a caller before a retry; there is none after a lost connection.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Time between two changes of the faults.
@@ -152,7 +152,8 @@
         .await
 }
 
-/// Performs an action; retries it through another entry until a reply states that it ran.
+/// Performs an action; retries it through the next listed entry, possibly the same, up to
+/// `max_attempts`, until a reply states that it ran.
 async fn perform(callers: Vec<Caller>, action: Action) -> Outcome {
     let mut replies = Vec::new();
     for entry in action.entries.iter().take(action.max_attempts) {
--- a/programs/src/bench/config.rs
+++ b/programs/src/bench/config.rs
@@ -1,6 +1,6 @@
 //! Scenario `config`: several operators change one declaration concurrently while the platform
 //! fails. Measures how soon a change is in force at every entry, and the idle load on the platform
-//! and between peers for several fleet sizes.
+//! for several fleet sizes and between peers for the largest.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::error::Error;
--- a/programs/src/bench/decisions.rs
+++ b/programs/src/bench/decisions.rs
@@ -121,7 +121,7 @@
     ]))
 }
 
-/// Returns the median time of an admission and its release, in microseconds.
+/// Returns the median time of an admission, in microseconds.
 async fn median_us(size: Size, seed: u64) -> Result<u64, Box<dyn Error>> {
     let (admission, _directory, stop) = start(size.servers);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
--- a/programs/src/bench/membership.rs
+++ b/programs/src/bench/membership.rs
@@ -1,5 +1,5 @@
-//! Scenario `membership`: time until all entries have detected the death of one, and the traffic
-//! and processor time of failure detection for several fleet sizes.
+//! Scenario `membership`: time until all entries have detected the death of one, and, for several
+//! fleet sizes, all traffic between peers and the processor time of the whole process.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -31,7 +31,7 @@
 const TICKS_PER_SECOND: f64 = 100.0;
 
 /// Measurements of one cluster: bytes sent per second and processor time in percent, both averaged
-/// over the entries, and live entries that a peer wrongly considers dead.
+/// over the entries, and pairs of an entry and a live peer that it wrongly considers dead.
 struct Measurements {
     bytes: f64,
     cpu: f64,
--- a/programs/src/bench/moves.rs
+++ b/programs/src/bench/moves.rs
@@ -285,7 +285,8 @@
     u32::try_from(thousandths).map_or(1.0, f64::from) / 1_000.0
 }
 
-/// Returns the measurements over all moves; prints the moves that did not end as expected.
+/// Returns the measurements over all moves. Prints good moves taken back and bad moves not taken
+/// back.
 fn summarize(outcomes: &[Outcome]) -> Report {
     let (bad, good): (Vec<&Outcome>, Vec<&Outcome>) =
         outcomes.iter().partition(|outcome| outcome.case.bad);
--- a/programs/src/bench/moves/load.rs
+++ b/programs/src/bench/moves/load.rs
@@ -16,7 +16,7 @@
 /// Callers at each entry.
 const CALLERS: usize = 12;
 
-/// Tokens of each answer.
+/// Maximum number of tokens of each answer.
 const TOKENS: u64 = 16;
 
 /// Time after the stop in which outstanding answers must arrive.
--- a/programs/src/bench/resume.rs
+++ b/programs/src/bench/resume.rs
@@ -119,7 +119,8 @@
     Naive,
 }
 
-/// Sends every prompt by one strategy while engines and entries fail.
+/// Sends every prompt by one strategy while engines fail, and entries too unless it is the naive
+/// one.
 async fn measure(seed: u64, strategy: Strategy) -> Result<Measurements, Box<dyn Error>> {
     let plan = Plan {
         entries: 3,
--- a/programs/src/bench/slow_readers.rs
+++ b/programs/src/bench/slow_readers.rs
@@ -274,8 +274,7 @@
         .is_ok()
 }
 
-/// Waits until the entries have disconnected the stopped readers and buffer nothing; returns
-/// whether this happened in time.
+/// Waits until the entries buffer no bytes; returns whether this happened in time.
 async fn entries_freed(cluster: &Cluster) -> bool {
     let free = || {
         let mut entries = cluster.entries.iter();
--- a/programs/src/caller.rs
+++ b/programs/src/caller.rs
@@ -176,7 +176,7 @@
         ))
     }
 
-    /// Requests a generation and returns the text of the complete answer.
+    /// Requests a generation and returns the text of the complete answer; `stream` must be false.
     ///
     /// # Errors
     ///
@@ -366,7 +366,8 @@
         .map_err(disconnected)
 }
 
-/// Returns the error of a failed connection, with the underlying cause if there is one.
+/// Returns the error of a failed connection, a malformed answer or a malformed request, with the
+/// underlying cause if there is one.
 fn disconnected(error: impl std::error::Error) -> Error {
     let mut reason = error.to_string();
     if let Some(source) = error.source() {
--- a/programs/src/caller/answer.rs
+++ b/programs/src/caller/answer.rs
@@ -66,7 +66,7 @@
         &self.tokens
     }
 
-    /// Returns the text received so far.
+    /// Returns the text received so far, without that of chunks that had no resume token.
     #[must_use]
     pub fn text(&self) -> String {
         self.tokens.concat()
@@ -143,7 +143,8 @@
         }
     }
 
-    /// Records a received chunk: its resume token, its text and whether it ends the answer.
+    /// Records a received chunk: its resume token, its text and whether it ends the answer. Text
+    /// without a resume token is dropped.
     fn record(&mut self, chunk: &Chunk) {
         if chunk.resume_token.is_some() {
             self.resume_token.clone_from(&chunk.resume_token);
--- a/programs/src/cluster.rs
+++ b/programs/src/cluster.rs
@@ -44,7 +44,7 @@
 /// Errors of starting a cluster or waiting for a condition.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A component of the cluster could not start.
+    /// A component of the cluster could not start, or a declaration was rejected.
     #[snafu(display("{component} could not start: {reason}"))]
     Start {
         /// The component.
--- a/programs/src/commands.rs
+++ b/programs/src/commands.rs
@@ -23,7 +23,7 @@
 /// Result of a subcommand.
 pub type Result = std::result::Result<(), Box<dyn Error>>;
 
-/// Checks a settings file and prints the name of its entry.
+/// Checks a settings file; prints its path, or with `json` the name of its entry.
 ///
 /// # Errors
 ///
--- a/programs/src/main.rs
+++ b/programs/src/main.rs
@@ -18,7 +18,7 @@
     xflags::xflags! {
         /// Serves long generations on engines that fail.
         cmd medlarfall {
-            /// Prints JSON instead of text.
+            /// Prints JSON instead of text; demo, explain, status and generate ignore it.
             optional --json
             /// Runs entries and stand-ins in this process, lets an engine die and prints the
             /// results.
@@ -92,7 +92,8 @@
                     /// Revision of the stop to change; 0, the default, for a new stop.
                     optional --revision revision: u64
                 }
-                /// Prints the requests that must still end before a stop, until it has finished.
+                /// Prints the requests that must still end before a stop, until it has finished or
+                /// is cancelled.
                 cmd stop-watch watch {
                     /// Operators' address of an entry.
                     required --entry entry: SocketAddr
--- a/programs/src/operator.rs
+++ b/programs/src/operator.rs
@@ -64,7 +64,7 @@
         Ok(reply.service.unwrap_or_default())
     }
 
-    /// Sends a request to declare a service unchanged and returns the reply.
+    /// Sends `request` as given and returns the reply.
     ///
     /// # Errors
     ///
