--- a/programs/src/caller/answer.rs
+++ b/programs/src/caller/answer.rs
@@ -60,7 +60,7 @@
             .map(|caller| caller.entry)
     }
 
-    /// Returns the tokens received so far.
+    /// Returns the tokens received so far, without those of chunks that had no resume token.
     #[must_use]
     pub fn tokens(&self) -> &[String] {
         &self.tokens
--- a/programs/tests/stops.rs
+++ b/programs/tests/stops.rs
@@ -13,7 +13,7 @@
 use medlarfall_serving::modules::stops::unix_milliseconds;
 use medlarfall_standin::{oracle, platform};
 
-/// Tokens of a generation that outlasts every stop of these tests.
+/// Tokens of a generation that outlasts the stops of these tests that are a few seconds away.
 const LONG_TOKENS: u64 = 900;
 
 /// Returns the plan of a cluster with a short lead before a stop and a long window for leaving
--- a/serving/src/configs/admission.rs
+++ b/serving/src/configs/admission.rs
@@ -17,9 +17,9 @@
     /// Part of an engine's usable memory that entries may use without a grant, in percent.
     pub base_percent: u64,
     /// Largest number of entries at a time, including replaced ones, among which `base_percent` is
-    /// divided.
+    /// divided. This is not an enforced limit.
     pub entries: usize,
-    /// Part of an engine's memory by which this entry's grant grows, in percent.
+    /// Step by which this entry's grant grows, in percent of the grantable memory.
     pub grant_percent: u64,
     /// Largest number of this entry's concurrent calls at one instance of a plain service.
     pub service_calls: usize,
--- a/serving/src/configs/callers.rs
+++ b/serving/src/configs/callers.rs
@@ -13,7 +13,7 @@
     pub body_limit: usize,
     /// Largest header section of a request, in bytes.
     pub header_limit: usize,
-    /// Time limit for receiving a caller's request.
+    /// Time limit for receiving the headers of a caller's request, and separately for its body.
     pub request_timeout: Duration,
     /// Largest number of open connections from callers.
     pub connections: usize,
--- a/serving/src/configs/generation.rs
+++ b/serving/src/configs/generation.rs
@@ -13,12 +13,12 @@
     pub silence_floor: Duration,
     /// Upper limit of the silence timeout of an attempt.
     pub silence_ceiling: Duration,
-    /// Largest number of consecutive attempts that end without a new token.
+    /// Largest number of consecutive attempts that are lost without a new token.
     pub attempts: usize,
     /// Text buffered for one reader before back-pressure starts, in bytes.
     pub buffered_bytes: usize,
     /// Text buffered for all readers, in bytes; above it, the text of the idle reader with the largest
-    /// buffer is discarded.
+    /// buffer is discarded, or the largest of all if none is idle.
     pub held_limit: usize,
     /// How long a reader's full buffer may block the engine before the generation is parked.
     pub park_after: Duration,
--- a/serving/src/configs/stops.rs
+++ b/serving/src/configs/stops.rs
@@ -14,7 +14,7 @@
     pub policy: Policy,
     /// Longest time that a stopping entry waits for its requests in progress.
     pub entry_window: Duration,
-    /// Pause between two checks whether a leaving server has been ordered to drain.
+    /// Base interval of drain checks and stop exchanges.
     pub drain_interval: Duration,
 }
 
--- a/serving/src/configs/value.rs
+++ b/serving/src/configs/value.rs
@@ -23,7 +23,7 @@
     Invalid {
         /// Section and name of the setting.
         key: &'static str,
-        /// The value as written.
+        /// Value to show; secrets are masked.
         value: String,
         /// Instruction for the operator on what to write instead.
         remedy: &'static str,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Returns a required name, which must not be empty.
+/// Returns a required name, which must not be empty and has only letters, digits, `-`, `.` and `_`.
 pub(super) fn name(key: &'static str, value: Option<String>) -> Result<Arc<str>, Problem> {
     let remedy = "write a name of letters, digits, `-` and `.`";
     let value = value.ok_or(Problem::Missing { key, remedy })?;
--- a/serving/src/modules/callers/body.rs
+++ b/serving/src/modules/callers/body.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns a stream of the body. After `timeout` the unread remainder is dropped, its reservation
-/// is released, and the stream ends with an error, which closes the connection.
+/// is released, and the stream yields an error, which closes the connection.
 pub(super) fn stream(
     body: Bytes,
     reservation: Option<Reservation>,
--- a/serving/src/modules/callers/resumption.rs
+++ b/serving/src/modules/callers/resumption.rs
@@ -32,7 +32,7 @@
             .open(text, &self.binding, now(), lifetime.as_secs())
     }
 
-    /// Continues after the tokens that a resume token declares as delivered.
+    /// Continues after the generated tokens that a resume token declares as delivered.
     pub(super) fn resume_after(&mut self, token: &Token) {
         self.delivered = token.delivered;
     }
--- a/serving/src/modules/directory/reader.rs
+++ b/serving/src/modules/directory/reader.rs
@@ -2,7 +2,8 @@
 //!
 //! A read that differs from the replica may be a new change or an outdated response of the platform.
 //! It counts as a change if the replica has no record of the instance, if it differs from this
-//! entry's own previous read, or if several consecutive reads differ from the replica.
+//! entry's own previous read (not when polling), or if several consecutive reads differ from the
+//! replica.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -23,7 +24,7 @@
 /// Time between two reads of the secondary reader, in intervals.
 const SECONDARY_INTERVALS: u32 = 4;
 
-/// Longest pause after failed reads, in intervals.
+/// Limit of the back-off after failed reads, in intervals.
 const PAUSE_INTERVALS: u32 = 4;
 
 /// Parameters of the task that reads the instance list.
--- a/serving/src/modules/metrics.rs
+++ b/serving/src/modules/metrics.rs
@@ -73,7 +73,7 @@
     pub requests: Family<Request, Counter>,
     /// Admitted requests, by whether their backend server is in the own failure domain.
     pub admitted: Admissions,
-    /// Attempts at generations that were lost.
+    /// Attempts at generations that were lost or refused.
     pub attempts_lost: Counter,
     /// Declarations from the store that were rejected, by reason.
     pub store_refusals: Family<Refusal, Counter>,
@@ -81,7 +81,7 @@
     pub generations_moved: Counter,
     /// Text buffered for readers that have not read it yet, in bytes.
     pub buffered_bytes: Gauge,
-    /// Generations cancelled at their engine because the reader did not read.
+    /// Times a generation was parked: cancelled at its engine because the reader did not read.
     pub generations_parked: Counter,
     /// Times that buffered text was discarded because the entry buffered too much.
     pub buffers_discarded: Counter,
